--- a/script/gen_metrics_page.py
+++ b/script/gen_metrics_page.py
@@ -36,8 +36,8 @@
     metrics.note_steps("service", 0.0, StepFailure, sends=2)
     metrics.note_turnaround("service", 0.0)
     metrics.note_store_call("GET", "kind", "200")
-    metrics.link_traffic.note_items("update")
-    metrics.link_traffic.note_lost("silent")
+    metrics.link_traffic.count_items("update")
+    metrics.link_traffic.count_lost_link("silent")
     return metrics
 
 
--- a/swiftpin/bench/losses/report_decoder.py
+++ b/swiftpin/bench/losses/report_decoder.py
@@ -9,11 +9,11 @@
     FieldError,
     load_json,
     read_field,
+    read_integer,
     read_list,
     read_mapping,
     read_number,
-    read_text,
-    read_whole,
+    read_string,
 )
 
 
@@ -24,7 +24,7 @@
     role = read_mapping(next(iter(_rows(fields, "nodes")), None), "first of nodes")
     return DayReport(
         worth=_signed(read_field(fields, "G")),
-        instances=read_whole(read_field(role, "n"), "instances", least=1),
+        instances=read_integer(read_field(role, "n"), "instances", minimum=1),
         parts=tuple(_part(row) for row in _rows(fields, "parts")),
         prices=tuple(_price(row) for row in _rows(fields, "prices")),
         kinds=tuple(_group(row) for row in _rows(fields, "classes")),
@@ -44,7 +44,7 @@
 def _counts(fields: dict[str, Any], name: str) -> dict[str, int]:
     """Return counts by name."""
     counts = read_mapping(read_field(fields, name), name)
-    return {key: read_whole(count, f"{name} {key}") for key, count in counts.items()}
+    return {key: read_integer(count, f"{name} {key}") for key, count in counts.items()}
 
 
 def _signed(value: object) -> float:
@@ -59,7 +59,7 @@
     cells = read_list(row, "row")
     if len(cells) != 3:
         raise FieldError(f"a row has {len(cells)} cells instead of 3")
-    return read_text(cells[0], "name"), _signed(cells[1]), _signed(cells[2])
+    return read_string(cells[0], "name"), _signed(cells[1]), _signed(cells[2])
 
 
 def _part(row: object) -> WorthPart:
@@ -78,11 +78,11 @@
     """Return the requests of a kind or a time."""
     fields = read_mapping(row, "requests")
     return RequestGroup(
-        name=read_text(read_field(fields, "name"), "name"),
-        asked=read_whole(read_field(fields, "n"), "asked"),
-        in_time=read_whole(read_field(fields, "in_aim"), "in time"),
-        late=read_whole(read_field(fields, "late"), "late"),
-        refused=read_whole(read_field(fields, "refused"), "refused"),
-        failed=read_whole(read_field(fields, "failed"), "failed"),
+        name=read_string(read_field(fields, "name"), "name"),
+        asked=read_integer(read_field(fields, "n"), "asked"),
+        in_time=read_integer(read_field(fields, "in_aim"), "in time"),
+        late=read_integer(read_field(fields, "late"), "late"),
+        refused=read_integer(read_field(fields, "refused"), "refused"),
+        failed=read_integer(read_field(fields, "failed"), "failed"),
         earned=_signed(read_field(fields, "worth")),
     )
--- a/swiftpin/discovery/entry_revisions.py
+++ b/swiftpin/discovery/entry_revisions.py
@@ -8,7 +8,7 @@
 
 from swiftpin.core import callback
 from swiftpin.discovery.freshness import UpdateSource
-from swiftpin.helpers.line_budget import LineBudget
+from swiftpin.helpers.line_rate_limiter import LineRateLimiter
 
 REFUSED_LINES: Final = 5
 """Lines a second about refused updates: a watch that is behind brings many."""
@@ -26,7 +26,7 @@
         """Revision up to which all entries are known, whoever told them."""
 
         self._revisions_by_name: dict[str, int] = {}
-        self._lines = LineBudget(REFUSED_LINES)
+        self._lines = LineRateLimiter(REFUSED_LINES)
 
     @callback
     def of(self, name: str) -> int:
@@ -62,7 +62,7 @@
         self, source: UpdateSource, name: str, revision: int, known: int, now: float
     ) -> None:
         """Write a line for an update that is older than what is known."""
-        if not self._lines.take(now):
+        if not self._lines.allow(now):
             return
         log_message(
             message_type="stale_update_refused",
@@ -70,5 +70,5 @@
             target=name,
             revision=revision,
             known=known,
-            left_out=self._lines.take_left_out(),
+            left_out=self._lines.take_suppressed_count(),
         )
--- a/swiftpin/discovery/unusable_entries.py
+++ b/swiftpin/discovery/unusable_entries.py
@@ -8,7 +8,7 @@
 from eliot import log_message
 
 from swiftpin.core import callback
-from swiftpin.helpers.line_budget import LineBudget
+from swiftpin.helpers.line_rate_limiter import LineRateLimiter
 from swiftpin.platform.unusable_entry import UnusableReason
 
 UNUSABLE_LINES: Final = 2
@@ -23,13 +23,13 @@
         self.on_unusable: Callable[[str], None] = _ignore
         """Called with the reason for each such entry that is read."""
 
-        self._lines = LineBudget(UNUSABLE_LINES)
+        self._lines = LineRateLimiter(UNUSABLE_LINES)
 
     @callback
     def note(self, name: str, reason: UnusableReason, error: str, now: float) -> None:
         """Note an entry that can't be used."""
         self.on_unusable(reason.value)
-        if not self._lines.take(now):
+        if not self._lines.allow(now):
             return
         log_message(
             message_type="target_entry_unusable",
@@ -37,7 +37,7 @@
             target=name,
             reason=reason.value,
             error=error,
-            left_out=self._lines.take_left_out(),
+            left_out=self._lines.take_suppressed_count(),
         )
 
 
--- a/swiftpin/fleet/document_lane.py
+++ b/swiftpin/fleet/document_channel.py
@@ -14,18 +14,18 @@
 FRAGMENT_SIZE: Final = 4 * 1024
 """Bytes of a document in one fragment."""
 
-MOST_UNCONFIRMED: Final = 2
+MAX_UNCONFIRMED_FRAGMENTS: Final = 2
 """Fragments on a link that the other side has not confirmed yet."""
 
-LINK_TIME: Final = 0.05
+MAX_IN_FLIGHT_SECONDS: Final = 0.05
 """Seconds of an instance's own link that unconfirmed fragments may take altogether."""
 
-LEAST_FRAGMENTS: Final = 8
+MIN_FRAGMENT_BUDGET: Final = 8
 """Unconfirmed fragments on all links that any instance may have."""
 
-NOTHING: Final = memoryview(b"")
+EMPTY: Final = memoryview(b"")
 
-MakeDocument = Callable[[], Item | None]
+DocumentFactory = Callable[[], Item | None]
 """Returns the item to send, None when the other side needs none any more."""
 
 
@@ -37,24 +37,24 @@
     """
 
     def __init__(self, bandwidth: float) -> None:
-        fragments = int(bandwidth * LINK_TIME / FRAGMENT_SIZE)
-        self._free = max(fragments, LEAST_FRAGMENTS)
-        self._waiting: dict[DocumentLane, None] = {}
+        fragments = int(bandwidth * MAX_IN_FLIGHT_SECONDS / FRAGMENT_SIZE)
+        self._free = max(fragments, MIN_FRAGMENT_BUDGET)
+        self._waiting: dict[DocumentChannel, None] = {}
 
     @callback
-    def request(self, lane: DocumentLane) -> None:
+    def request(self, lane: DocumentChannel) -> None:
         """Send what a link has as soon as the bounds allow it."""
         self._waiting.setdefault(lane)
         self._send()
 
     @callback
-    def give_back(self, fragments: int) -> None:
+    def release(self, fragments: int) -> None:
         """Take back fragments that have arrived, or were lost with their link."""
         self._free += fragments
         self._send()
 
     @callback
-    def withdraw(self, lane: DocumentLane) -> None:
+    def remove(self, lane: DocumentChannel) -> None:
         """Drop what is queued for a link."""
         self._waiting.pop(lane, None)
 
@@ -65,12 +65,12 @@
             while self._free and lane.send_fragment():
                 self._free -= 1
             if lane.is_empty:
-                self.withdraw(lane)
+                self.remove(lane)
             if not self._free:
                 return
 
 
-class DocumentLane:
+class DocumentChannel:
     """Sends a link's documents in order, and puts together those that arrive.
 
     In one piece a document would delay whatever is sent after it, also heartbeats, by
@@ -86,8 +86,8 @@
         self._budget = budget
         self._traffic = traffic
         self._send = send
-        self._documents: deque[MakeDocument] = deque()
-        self._rest = NOTHING
+        self._documents: deque[DocumentFactory] = deque()
+        self._rest = EMPTY
         """What is still to be sent of the present document."""
 
         self._unconfirmed = 0
@@ -104,7 +104,7 @@
         return self.is_empty and not self._unconfirmed
 
     @callback
-    def add(self, make: MakeDocument) -> None:
+    def add(self, make: DocumentFactory) -> None:
         """Send a document, made when its turn comes, after those before it."""
         self._documents.append(make)
         self._budget.request(self)
@@ -112,7 +112,7 @@
     @callback
     def send_fragment(self) -> bool:
         """Send the next fragment; return whether there was one that may be sent."""
-        if self._unconfirmed >= MOST_UNCONFIRMED:
+        if self._unconfirmed >= MAX_UNCONFIRMED_FRAGMENTS:
             return False
         while not self._rest and self._documents:
             self._begin(self._documents.popleft())
@@ -125,22 +125,22 @@
         return True
 
     @callback
-    def _begin(self, make: MakeDocument) -> None:
+    def _begin(self, make: DocumentFactory) -> None:
         """Make a document, if the other side still needs it."""
         item = make()
         if item is not None:
-            self._traffic.note_items(item.WhichOneof("body"))
+            self._traffic.count_items(item.WhichOneof("body"))
             self._rest = memoryview(item.SerializeToString())
 
     @callback
-    def confirm(self) -> None:
+    def confirm_fragment(self) -> None:
         """Note that the other side has taken a fragment."""
         if self._unconfirmed:
             self._unconfirmed -= 1
-            self._budget.give_back(1)
+            self._budget.release(1)
 
     @callback
-    def take(self, fragment: pb.Fragment) -> Item | None:
+    def receive_fragment(self, fragment: pb.Fragment) -> Item | None:
         """Take a fragment; return the document if it is whole.
 
         Raises `DecodeError` when it can't be read.
@@ -156,8 +156,8 @@
     def close(self) -> None:
         """Send nothing more; what is under way is lost."""
         self._documents.clear()
-        self._rest = NOTHING
-        self._budget.withdraw(self)
+        self._rest = EMPTY
+        self._budget.remove(self)
         lost, self._unconfirmed = self._unconfirmed, 0
         if lost:
-            self._budget.give_back(lost)
+            self._budget.release(lost)
--- a/swiftpin/fleet/frame_stream.py
+++ b/swiftpin/fleet/frame_stream.py
@@ -15,11 +15,11 @@
 LENGTH_BYTES: Final = 4
 """Bytes in front of each frame that tell its length, highest first."""
 
-LONGEST_FRAME: Final = 64 * 1024 * 1024
+MAX_FRAME_SIZE: Final = 64 * 1024 * 1024
 """Bytes of a frame at most; the key maps of a service with thousands of targets take
 less than one."""
 
-CLOSE_LIMIT: Final = 1.0
+CLOSE_TIMEOUT: Final = 1.0
 """Seconds for the last frames to leave; a side that fell silent takes none."""
 
 
@@ -48,7 +48,7 @@
     async def send_message(self, message: Any) -> None:  # noqa: ANN401  # generated
         """Send a frame; wait while the other side takes none."""
         body = message.SerializeToString()
-        self._traffic.note_bytes(LENGTH_BYTES + len(body))
+        self._traffic.count_bytes(LENGTH_BYTES + len(body))
         self._writer.write(len(body).to_bytes(LENGTH_BYTES, "big") + body)
         await self._writer.drain()
 
@@ -61,7 +61,7 @@
                 raise FrameError("the connection ended within a length") from err
             return None
         length = int.from_bytes(head, "big")
-        if length > LONGEST_FRAME:
+        if length > MAX_FRAME_SIZE:
             raise FrameError(f"a frame of {length} bytes")
         try:
             return pb.Frame.FromString(await self._reader.readexactly(length))
@@ -75,4 +75,4 @@
         """Close the connection; what was sent last may still leave."""
         self._writer.close()
         loop = asyncio.get_running_loop()
-        loop.call_later(CLOSE_LIMIT, self._writer.transport.abort)
+        loop.call_later(CLOSE_TIMEOUT, self._writer.transport.abort)
--- a/swiftpin/fleet/link.py
+++ b/swiftpin/fleet/link.py
@@ -8,7 +8,11 @@
 from google.protobuf.message import DecodeError
 
 from swiftpin.core import callback
-from swiftpin.fleet.document_lane import DocumentBudget, DocumentLane, MakeDocument
+from swiftpin.fleet.document_channel import (
+    DocumentBudget,
+    DocumentChannel,
+    DocumentFactory,
+)
 from swiftpin.fleet.frame_stream import FrameError
 from swiftpin.fleet.item import Item
 from swiftpin.fleet.link_traffic import LinkTraffic
@@ -17,23 +21,23 @@
 HEARTBEAT_INTERVAL: Final = 0.3
 """Seconds after a frame on a link until a heartbeat is sent."""
 
-LONGEST_HEARTBEAT_INTERVAL: Final = 0.9
+MAX_HEARTBEAT_INTERVAL: Final = 0.9
 """Seconds between two heartbeats at most on a link that has other frames: versions
 travel in them. Each frame costs processor time at both ends."""
 
-SILENT_LIMIT: Final = 1.2
+SILENCE_TIMEOUT: Final = 1.2
 """Seconds without a frame after which a link is closed: four heartbeats. A connection
 can fall silent without being closed."""
 
-FRESH_LIMIT: Final = 0.6
+RESPONSIVE_LIMIT: Final = 0.6
 """Seconds without a frame after which nobody waits for an answer on a link any more:
 two heartbeats. Objectives are of half a second and more."""
 
-MOST_WAITING: Final = 20_000
+MAX_QUEUED_ITEMS: Final = 20_000
 """Items that may wait to be sent; a link that is further behind is closed."""
 
 
-class Frames(Protocol):
+class FrameConnection(Protocol):
     """A connection's frames, at either side."""
 
     async def send_message(self, message: Any) -> None:  # noqa: ANN401
@@ -70,17 +74,17 @@
         """The other side, once it said who it is."""
 
         self.peer = ""
-        self.strength = 1.0
+        self.cpu_capacity = 1.0
         self.heartbeat: Item | None = None
-        self.vote_until = 0.0
+        self.vote_expires_at = 0.0
         """Until when the other side leaves the lease alone, on the holder's clock."""
 
-        self.heard_at = now
-        self.fragment_at = 0.0
+        self.last_received_at = now
+        self.last_fragment_at = 0.0
         """When a part of a document arrived last."""
 
         self.is_closed = False
-        self.is_silent = False
+        self.is_timed_out = False
         """Whether the link ended since the other side was not heard."""
 
         self._traffic = traffic or LinkTraffic()
@@ -89,7 +93,7 @@
         self._last_heartbeat: Item | None = None
         self._handler = handler
         self._waiting: list[Item] = []
-        self._lane = DocumentLane(
+        self._lane = DocumentChannel(
             documents or DocumentBudget(0.0), self.send, self._traffic
         )
         self._wake = asyncio.Event()
@@ -99,15 +103,15 @@
         """Send an item as soon as the link can take it."""
         if self.is_closed:
             return
-        if len(self._waiting) >= MOST_WAITING:
+        if len(self._waiting) >= MAX_QUEUED_ITEMS:
             self.close()
             return
-        self._traffic.note_items(item.WhichOneof("body"))
+        self._traffic.count_items(item.WhichOneof("body"))
         self._waiting.append(item)
         self._wake.set()
 
     @callback
-    def send_document(self, make: MakeDocument) -> None:
+    def send_document(self, make: DocumentFactory) -> None:
         """Send what may be long, without delaying what is sent meanwhile.
 
         It is made when its turn comes, from what is known then.
@@ -133,14 +137,14 @@
     @callback
     def is_alive(self, now: float) -> bool:
         """Return whether the other side was heard lately."""
-        return not self.is_closed and now - self.heard_at < SILENT_LIMIT
+        return not self.is_closed and now - self.last_received_at < SILENCE_TIMEOUT
 
     @callback
-    def is_fresh(self, now: float) -> bool:
+    def is_responsive(self, now: float) -> bool:
         """Return whether an answer on the link is to be expected."""
-        return not self.is_closed and now - self.heard_at < FRESH_LIMIT
+        return not self.is_closed and now - self.last_received_at < RESPONSIVE_LIMIT
 
-    async def async_run(self, stream: Frames) -> None:
+    async def async_run(self, stream: FrameConnection) -> None:
         """Serve the link until either side ends it or falls silent."""
         tasks = {
             asyncio.create_task(self._async_send(stream)),
@@ -157,7 +161,7 @@
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _async_send(self, stream: Frames) -> None:
+    async def _async_send(self, stream: FrameConnection) -> None:
         """Send what waits."""
         while not self.is_closed:
             await self._wake.wait()
@@ -167,14 +171,14 @@
                 self._sent_at = asyncio.get_running_loop().time()
                 await stream.send_message(pb.Frame(items=items))
 
-    async def _async_receive(self, stream: Frames) -> None:
+    async def _async_receive(self, stream: FrameConnection) -> None:
         """Hand on what arrives."""
         loop = asyncio.get_running_loop()
         while not self.is_closed:
             frame = await stream.recv_message()
             if frame is None:
                 return
-            self.heard_at = loop.time()
+            self.last_received_at = loop.time()
             for item in frame.items:
                 self._take(item)
 
@@ -183,10 +187,10 @@
         """Hand on an item, a document once it is whole."""
         match item.WhichOneof("body"):
             case "fragment":
-                self.fragment_at = self.heard_at
+                self.last_fragment_at = self.last_received_at
                 self._take_fragment(item.fragment)
             case "fragment_taken":
-                self._lane.confirm()
+                self._lane.confirm_fragment()
             case _:
                 self._handler.handle_item(self, item)
 
@@ -194,7 +198,7 @@
     def _take_fragment(self, fragment: pb.Fragment) -> None:
         """Take a part of a document."""
         try:
-            document = self._lane.take(fragment)
+            document = self._lane.receive_fragment(fragment)
         except DecodeError as err:
             raise FrameError(f"unreadable document: {err}") from err
         if document is not None:
@@ -212,7 +216,7 @@
                 self._last_heartbeat = item.heartbeat
                 due_at = now + HEARTBEAT_INTERVAL
             await asyncio.sleep(min(due_at - now, HEARTBEAT_INTERVAL))
-        self.is_silent = not self.is_closed
+        self.is_timed_out = not self.is_closed
 
     @callback
     def _heartbeat_due_at(self, heartbeat: Item) -> float:
@@ -242,5 +246,5 @@
             return self._heartbeat_at + HEARTBEAT_INTERVAL
         return min(
             self._sent_at + HEARTBEAT_INTERVAL,
-            self._heartbeat_at + LONGEST_HEARTBEAT_INTERVAL,
+            self._heartbeat_at + MAX_HEARTBEAT_INTERVAL,
         )
--- a/swiftpin/fleet/link_traffic.py
+++ b/swiftpin/fleet/link_traffic.py
@@ -19,16 +19,16 @@
         """Links by the reason of their end."""
 
     @callback
-    def note_items(self, kind: str, count: int = 1) -> None:
+    def count_items(self, kind: str, count: int = 1) -> None:
         """Count items that were handed to a link."""
         self.items_sent[kind] += count
 
     @callback
-    def note_bytes(self, size: int) -> None:
+    def count_bytes(self, size: int) -> None:
         """Count the bytes of a frame."""
         self.bytes_sent += size
 
     @callback
-    def note_lost(self, reason: str) -> None:
+    def count_lost_link(self, reason: str) -> None:
         """Count a link that ended."""
         self.links_lost[reason] += 1
--- a/swiftpin/fleet/links.py
+++ b/swiftpin/fleet/links.py
@@ -10,7 +10,7 @@
 
 from swiftpin.core import callback
 from swiftpin.exceptions import ConfigurationError
-from swiftpin.fleet.document_lane import DocumentBudget
+from swiftpin.fleet.document_channel import DocumentBudget
 from swiftpin.fleet.frame_stream import FrameError, FrameStream
 from swiftpin.fleet.link import LinkHandler, PeerLink
 from swiftpin.fleet.link_traffic import LinkTraffic
@@ -34,7 +34,7 @@
         *,
         incarnation: str,
         own_peer: str,
-        strength: float,
+        cpu_capacity: float,
         handler: LinkHandler,
         bandwidth: float = 0.0,
     ) -> None:
@@ -45,7 +45,7 @@
         self._documents = DocumentBudget(bandwidth)
         self._incarnation = incarnation
         self._own_peer = own_peer
-        self._strength = strength
+        self._cpu_capacity = cpu_capacity
         self._handler = handler
         self._tasks_by_peer: dict[str, asyncio.Task[None]] = {}
         self._server: asyncio.Server | None = None
@@ -70,7 +70,7 @@
             self._server = None
 
     @callback
-    def want(self, peers: set[str]) -> None:
+    def set_peers(self, peers: set[str]) -> None:
         """Keep links to these addresses, and to no others."""
         wanted = peers - {self._own_peer, ""}
         for peer in self._tasks_by_peer.keys() - wanted:
@@ -137,7 +137,7 @@
         except LINK_ERRORS as err:
             self._note_lost(link, "error", repr(err))
         else:
-            reason = "silent" if link.is_silent else "ended"
+            reason = "silent" if link.is_timed_out else "ended"
             self._note_lost(link, reason, reason)
         finally:
             # Also when this instance ends it: what was asked for over the link would
@@ -165,7 +165,7 @@
                 hello=pb.Hello(
                     incarnation=self._incarnation,
                     peer=self._own_peer,
-                    strength=self._strength,
+                    strength=self._cpu_capacity,
                 )
             )
         )
@@ -173,7 +173,7 @@
     @callback
     def _note_lost(self, link: PeerLink, reason: str, detail: str) -> None:
         """Count a link that ended, and write a line for it."""
-        self.traffic.note_lost(reason)
+        self.traffic.count_lost_link(reason)
         log_message(
             message_type="peer_lost",
             level="warning",
--- a/swiftpin/gateway/decision_log.py
+++ b/swiftpin/gateway/decision_log.py
@@ -9,8 +9,8 @@
 from swiftpin.helpers.logging_destination import KeyValueDestination
 from swiftpin.helpers.logging_format import (
     ABSENT,
-    cached_text,
     format_text,
+    format_text_cached,
     format_time,
 )
 from swiftpin.result import Executed
@@ -74,8 +74,8 @@
     if incoming is None:
         return f" entry={entry}"
     return (
-        f" entry={entry} service={cached_text(incoming.service.name)}"
-        f" class={cached_text(incoming.request_class.name)}"
+        f" entry={entry} service={format_text_cached(incoming.service.name)}"
+        f" class={format_text_cached(incoming.request_class.name)}"
         f" key={format_text(incoming.key) if incoming.key else ABSENT}"
     )
 
@@ -86,11 +86,12 @@
     if route is None:
         if record.target is None:
             return ""
-        return f" target={cached_text(record.target)} reason=balanced"
+        return f" target={format_text_cached(record.target)} reason=balanced"
     return (
         f" slice={route.slice_id} group={route.group.group}"
-        f" target={cached_text(route.target.id)} term={route.term}"
-        f" holder={cached_text(route.holder)} reason={cached_text(route.reason)}"
+        f" target={format_text_cached(route.target.id)} term={route.term}"
+        f" holder={format_text_cached(route.holder)}"
+        f" reason={format_text_cached(route.reason)}"
     )
 
 
--- a/swiftpin/helpers/whole_body.py
+++ b/swiftpin/helpers/bytes_body.py
@@ -5,7 +5,7 @@
 from collections.abc import AsyncIterator
 
 
-class WholeBody:
+class BytesBody:
     """Body of a request made here; it can be sent any number of times."""
 
     __slots__ = ("whole",)
--- a/swiftpin/helpers/line_budget.py
+++ b/swiftpin/helpers/line_rate_limiter.py
@@ -7,20 +7,20 @@
 from swiftpin.core import callback
 
 
-class LineBudget:
+class LineRateLimiter:
     """Lets so many lines, and bytes, a second through and counts what it leaves out."""
 
-    def __init__(self, most: int, *, most_bytes: float = math.inf) -> None:
-        self.left_out = 0
-        self._most = most
-        self._most_bytes = most_bytes
+    def __init__(self, max_lines: int, *, max_bytes: float = math.inf) -> None:
+        self.suppressed = 0
+        self._max_lines = max_lines
+        self._max_bytes = max_bytes
         self._second = 0
         self._written = 0
         self._bytes = 0
         self._told = 0
 
     @callback
-    def take(self, now: float, size: int = 0, *, share: float = 1.0) -> bool:
+    def allow(self, now: float, size: int = 0, *, share: float = 1.0) -> bool:
         """Return whether a line of so many bytes fits into the second of `now`.
 
         `now` is a monotonic time. `share` is the part of the second's room that lines
@@ -32,18 +32,18 @@
             self._written = 0
             self._bytes = 0
         if (
-            self._written + 1 > self._most * share
-            or self._bytes + size > self._most_bytes * share
+            self._written + 1 > self._max_lines * share
+            or self._bytes + size > self._max_bytes * share
         ):
-            self.left_out += 1
+            self.suppressed += 1
             return False
         self._written += 1
         self._bytes += size
         return True
 
     @callback
-    def take_left_out(self) -> int:
+    def take_suppressed_count(self) -> int:
         """Return how many were left out since the last call."""
-        count = self.left_out - self._told
-        self._told = self.left_out
+        count = self.suppressed - self._told
+        self._told = self.suppressed
         return count
--- a/swiftpin/helpers/logging_format.py
+++ b/swiftpin/helpers/logging_format.py
@@ -10,7 +10,7 @@
 from typing import Final
 
 ABSENT: Final = "-"
-LONGEST_TEXT: Final = 4096
+MAX_TEXT_LENGTH: Final = 4096
 """Characters of one value; a path may have 16 KB, and a traceback repeats itself."""
 
 _PLAIN: Final = re.compile(r"[A-Za-z0-9_.,:;/@%+*()\[\]-]+")
@@ -42,14 +42,14 @@
 
     A caller that sends long paths could otherwise fill the room of all lines.
     """
-    if len(text) > LONGEST_TEXT:
-        text = f"{text[:LONGEST_TEXT]}...({len(text) - LONGEST_TEXT} more)"
+    if len(text) > MAX_TEXT_LENGTH:
+        text = f"{text[:MAX_TEXT_LENGTH]}...({len(text) - MAX_TEXT_LENGTH} more)"
     if text != ABSENT and _PLAIN.fullmatch(text):
         return text
     return json.dumps(text)
 
 
-cached_text: Final = lru_cache(maxsize=4096)(format_text)
+format_text_cached: Final = lru_cache(maxsize=4096)(format_text)
 """`format_text` for values that come again, such as names of targets."""
 
 
--- a/swiftpin/helpers/logging_writer.py
+++ b/swiftpin/helpers/logging_writer.py
@@ -10,7 +10,7 @@
 from typing import BinaryIO, Final
 
 from swiftpin.core import callback
-from swiftpin.helpers.line_budget import LineBudget
+from swiftpin.helpers.line_rate_limiter import LineRateLimiter
 from swiftpin.helpers.log_volume import LogVolume
 from swiftpin.helpers.logging_format import format_time
 
@@ -19,11 +19,11 @@
 
 DEFAULT_LINE_LIMIT: Final = 20_000
 
-KEPT_FOR_FAILURES: Final = 0.25
+FAILURE_RESERVE_SHARE: Final = 0.25
 """Part of the room, in the queue and in each second, that only lines of failures may
 use: when the reader stalls or all goes wrong at once they are what is looked for."""
 
-CLOSE_LIMIT: Final = 1.0
+CLOSE_TIMEOUT: Final = 1.0
 
 
 class LineWriter:
@@ -49,7 +49,7 @@
         self._budget = _budget(volume)
         self._stream = stream
         self._limit = limit
-        self._usual_limit = int(limit * (1 - KEPT_FOR_FAILURES))
+        self._usual_limit = int(limit * (1 - FAILURE_RESERVE_SHARE))
         self._lines: deque[str] = deque()
         self._stopping = Event()
         self._thread = Thread(target=self._run, name="line-writer", daemon=True)
@@ -57,7 +57,7 @@
     @property
     def over_volume(self) -> int:
         """Return how many lines were left out since they were too many a second."""
-        return 0 if self._budget is None else self._budget.left_out
+        return 0 if self._budget is None else self._budget.suppressed
 
     @callback
     def start(self) -> None:
@@ -72,8 +72,8 @@
             self.dropped += 1
             return
         if self._budget is not None:
-            share = 1.0 if is_failure else 1.0 - KEPT_FOR_FAILURES
-            if not self._budget.take(time.monotonic(), len(line) + 1, share=share):
+            share = 1.0 if is_failure else 1.0 - FAILURE_RESERVE_SHARE
+            if not self._budget.allow(time.monotonic(), len(line) + 1, share=share):
                 return
         self._lines.append(line)
 
@@ -81,7 +81,7 @@
     def unload(self) -> None:
         """Write what is left and stop; a stalled reader delays it a second at most."""
         self._stopping.set()
-        self._thread.join(CLOSE_LIMIT)
+        self._thread.join(CLOSE_TIMEOUT)
 
     def _run(self) -> None:
         """Write batches until told to stop."""
@@ -142,8 +142,8 @@
     )
 
 
-def _budget(volume: LogVolume | None) -> LineBudget | None:
+def _budget(volume: LogVolume | None) -> LineRateLimiter | None:
     """Return the budget for a volume, None where it has no limit."""
     if volume is None:
         return None
-    return LineBudget(volume.lines, most_bytes=volume.bytes)
+    return LineRateLimiter(volume.lines, max_bytes=volume.bytes)
--- a/swiftpin/helpers/slices.py
+++ b/swiftpin/helpers/time_slices.py
@@ -8,35 +8,35 @@
 
 from swiftpin.core import callback, monotonic_now
 
-SLICE: Final = 0.002
+TIME_SLICE_SECONDS: Final = 0.002
 """Seconds of a computation after which it lets others go on."""
 
 _Result = TypeVar("_Result")
 
 
 @dataclass(frozen=True, slots=True)
-class Done(Generic[_Result]):
+class Completed(Generic[_Result]):
     """What a computation returned."""
 
     result: _Result
 
 
 @callback
-def run_slice(
-    steps: Generator[None, None, _Result], seconds: float = SLICE
-) -> Done[_Result] | None:
+def run_time_slice(
+    steps: Generator[None, None, _Result], seconds: float = TIME_SLICE_SECONDS
+) -> Completed[_Result] | None:
     """Go on with a computation for some time; return None if it is not done then."""
     ends_at = monotonic_now() + seconds
     try:
         while monotonic_now() < ends_at:
             next(steps)
     except StopIteration as end:
-        return Done(end.value)
+        return Completed(end.value)
     return None
 
 
 @callback
-def run_whole(steps: Generator[None, None, _Result]) -> _Result:
+def run_to_completion(steps: Generator[None, None, _Result]) -> _Result:
     """Return the result of a computation at once."""
     while True:
         try:
--- a/swiftpin/keyranges/assignment.py
+++ b/swiftpin/keyranges/assignment.py
@@ -14,12 +14,12 @@
 from swiftpin.platform.json_fields import (
     FieldError,
     read_field,
+    read_integer,
     read_list,
     read_mapping,
-    read_text,
-    read_whole,
+    read_string,
 )
-from swiftpin.platform.names import MILLISECONDS
+from swiftpin.platform.names import MILLISECONDS_PER_SECOND
 
 ROW_LENGTH: Final = 4
 """Values of a row: first key, owner, fence, former owner."""
@@ -161,7 +161,9 @@
         rows.append([segment.first, owner, segment.fence, former])
     content: dict[str, Any] = {"targets": list(numbers), "rows": rows}
     if assignment.longest_hold is not None:
-        content[ATTR_LONGEST_HOLD] = round(assignment.longest_hold * MILLISECONDS)
+        content[ATTR_LONGEST_HOLD] = round(
+            assignment.longest_hold * MILLISECONDS_PER_SECOND
+        )
     return content
 
 
@@ -171,14 +173,16 @@
         fields = read_mapping(content, "the record")
         targets = read_list(read_field(fields, "targets"), "targets")
         rows = read_list(read_field(fields, "rows"), "rows")
-        names = [read_text(name, "a target", may_be_empty=True) for name in targets]
+        names = [read_string(name, "a target", may_be_empty=True) for name in targets]
         starts = [_decode_row(row, names) for row in rows]
         longest_hold = None
         if ATTR_LONGEST_HOLD in fields:
-            longest_hold = read_whole(fields[ATTR_LONGEST_HOLD], ATTR_LONGEST_HOLD)
+            longest_hold = read_integer(fields[ATTR_LONGEST_HOLD], ATTR_LONGEST_HOLD)
         return Assignment(
             segments=_with_lasts(starts),
-            longest_hold=None if longest_hold is None else longest_hold / MILLISECONDS,
+            longest_hold=None
+            if longest_hold is None
+            else longest_hold / MILLISECONDS_PER_SECOND,
         )
     except FieldError as err:
         raise ConfigurationError(f"record of an assignment: {err}") from err
@@ -189,14 +193,14 @@
     values = read_list(row, "a row")
     if len(values) != ROW_LENGTH:
         raise FieldError("a row has another length")
-    first = read_whole(values[0], "the first key", most=KEYS - 1)
-    owner = names[read_whole(values[1], "the owner", most=len(names) - 1)]
-    former = names[read_whole(values[3], "the former owner", most=len(names) - 1)]
+    first = read_integer(values[0], "the first key", maximum=KEYS - 1)
+    owner = names[read_integer(values[1], "the owner", maximum=len(names) - 1)]
+    former = names[read_integer(values[3], "the former owner", maximum=len(names) - 1)]
     return Segment(
         first=first,
         last=first,
-        owner=read_text(owner, "the owner"),
-        fence=read_whole(values[2], "the fence"),
+        owner=read_string(owner, "the owner"),
+        fence=read_integer(values[2], "the fence"),
         former=former,
     )
 
--- a/swiftpin/keyranges/lease_record.py
+++ b/swiftpin/keyranges/lease_record.py
@@ -9,10 +9,10 @@
 from swiftpin.platform.json_fields import (
     FieldError,
     read_field,
+    read_integer,
     read_list,
     read_mapping,
-    read_text,
-    read_whole,
+    read_string,
 )
 
 
@@ -47,12 +47,14 @@
         fields = read_mapping(content, "the record")
         members = read_list(fields.get("members", []), "members")
         return LeaseRecord(
-            holder=read_text(read_field(fields, "holder"), "holder", may_be_empty=True),
-            peer=read_text(read_field(fields, "peer"), "peer", may_be_empty=True),
-            term=read_whole(read_field(fields, "term"), "term"),
-            renewal=read_whole(read_field(fields, "renewal"), "renewal"),
-            era=read_whole(fields.get("era", 0), "era"),
-            members=tuple(read_text(member, "a member") for member in members),
+            holder=read_string(
+                read_field(fields, "holder"), "holder", may_be_empty=True
+            ),
+            peer=read_string(read_field(fields, "peer"), "peer", may_be_empty=True),
+            term=read_integer(read_field(fields, "term"), "term"),
+            renewal=read_integer(read_field(fields, "renewal"), "renewal"),
+            era=read_integer(fields.get("era", 0), "era"),
+            members=tuple(read_string(member, "a member") for member in members),
         )
     except FieldError as err:
         raise ConfigurationError(f"record of the lease: {err}") from err
--- a/swiftpin/model/bounds.py
+++ b/swiftpin/model/bounds.py
@@ -9,16 +9,16 @@
 class Bounds:
     """Limits of one deployment; times in seconds."""
 
-    drain: float
+    drain_limit: float
     """How long after its announcement a leaving target may still get requests."""
 
-    apply: float
+    apply_limit: float
     """How long after its acceptance a configuration may take to be in force."""
 
-    grace: float
+    shutdown_grace: float
     """Time between SIGTERM and SIGKILL."""
 
-    longest_hold: float
+    max_hold: float
     """Longest time for which a target accepts a grant."""
 
     retry_ratio: float
@@ -30,10 +30,10 @@
     retry_slack: float
     """Second sends allowed in a window beyond the ratio."""
 
-    stability: float
+    stability_period: float
     """Calm time after which a disturbed instance counts as undisturbed again."""
 
-    evacuation: float | None = None
+    evacuation_limit: float | None = None
     """How long after an evacuation's acceptance the targets of its zone may still get
     requests; None where zones are not evacuated."""
 
--- a/swiftpin/model/caller_limits.py
+++ b/swiftpin/model/caller_limits.py
@@ -11,5 +11,5 @@
 
     header_bytes: int
     body_bytes: int
-    header_time: float
-    idle_time: float
+    header_timeout: float
+    idle_timeout: float
--- a/swiftpin/model/configuration.py
+++ b/swiftpin/model/configuration.py
@@ -21,7 +21,7 @@
 
     services_by_name: Mapping[str, ServiceSpec]
     limits: CallerLimits
-    tables_by_host: Mapping[str, RouteTable] = field(
+    route_tables_by_host: Mapping[str, RouteTable] = field(
         init=False, repr=False, compare=False
     )
 
@@ -29,15 +29,15 @@
         tables = {
             host: RouteTable.of(routes) for host, routes in self.routes_by_host.items()
         }
-        object.__setattr__(self, "tables_by_host", tables)
+        object.__setattr__(self, "route_tables_by_host", tables)
 
     def find_route(self, host: str, path: str) -> Route | None:
         """Return the route with the longest prefix that begins the path."""
-        table = self.tables_by_host.get(host)
+        table = self.route_tables_by_host.get(host)
         return None if table is None else table.find(path)
 
     @property
-    def longest_timeout(self) -> float:
+    def max_route_timeout(self) -> float:
         """Return the longest time that any route gives a request, in seconds."""
         return max(
             (
--- a/swiftpin/model/instance_settings.py
+++ b/swiftpin/model/instance_settings.py
@@ -14,24 +14,24 @@
 
     name: str
     zone: str
-    callers: Address
+    caller_address: Address
     """Where callers' requests arrive."""
 
-    readiness: Address
+    readiness_address: Address
     """Where the balancer asks whether to send callers."""
 
-    peers: Address
+    peer_address: Address
     """Where other instances connect."""
 
     seeds: tuple[str, ...]
     """Peer addresses of instances that may be asked when the store is away."""
 
-    store: Address
+    store_address: Address
     bounds: Bounds
     target_heartbeat: float
     """Seconds between two reports of a target to the store."""
 
-    strength: float
+    cpu_capacity: float
     """Share of a usual core that the instance may use."""
 
     bandwidth: float
--- a/swiftpin/model/route.py
+++ b/swiftpin/model/route.py
@@ -32,8 +32,8 @@
     priority: int
     """Rank; 0 goes first."""
 
-    attempts: int
+    max_attempts: int
     """Targets to which one request may be sent."""
 
-    parts: tuple[WeightedService, ...]
+    weighted_services: tuple[WeightedService, ...]
     """Services that share the requests; one for a plain route."""
--- a/swiftpin/model/store_era.py
+++ b/swiftpin/model/store_era.py
@@ -23,7 +23,7 @@
         return self._newest or 0
 
     @callback
-    def note(self, told: int | None) -> int:
+    def observe(self, told: int | None) -> int:
         """Return the era of an answer; one that tells none is of the newest known.
 
         Raises `AnswerBrokenError` for an answer of an earlier era: it was long on its
--- a/swiftpin/model/store_revision.py
+++ b/swiftpin/model/store_revision.py
@@ -11,27 +11,27 @@
 
 from swiftpin.core import callback
 
-ERA_SIZE: Final = 10**12
+REVISIONS_PER_ERA: Final = 10**12
 """Revisions of an era, more than any store makes between two restores."""
 
-LAST_ERA: Final = 10**6
+MAX_ERA: Final = 10**6
 
 
 @callback
 def make_revision(era: int, number: int) -> int:
     """Return the revision that the store calls `number` in an era."""
-    if not 0 <= era <= LAST_ERA or not 0 <= number < ERA_SIZE:
+    if not 0 <= era <= MAX_ERA or not 0 <= number < REVISIONS_PER_ERA:
         raise ValueError(f"revision {number} of era {era} is out of range")
-    return era * ERA_SIZE + number
+    return era * REVISIONS_PER_ERA + number
 
 
 @callback
 def era_of(revision: int) -> int:
     """Return the era of a revision."""
-    return revision // ERA_SIZE
+    return revision // REVISIONS_PER_ERA
 
 
 @callback
 def number_of(revision: int) -> int:
     """Return what the store calls a revision."""
-    return revision % ERA_SIZE
+    return revision % REVISIONS_PER_ERA
--- a/swiftpin/permits/pending_asks.py
+++ b/swiftpin/permits/pending_asks.py
@@ -79,7 +79,7 @@
         """
         for pending in self._pending_by_number.values():
             issuer = pending.issuer
-            if issuer is not None and not issuer.is_fresh(now):
+            if issuer is not None and not issuer.is_responsive(now):
                 pending.settle(AskEnd.ISSUER_LOST)
 
     @callback
--- a/swiftpin/permits/permit_broker.py
+++ b/swiftpin/permits/permit_broker.py
@@ -258,6 +258,6 @@
             if incarnation == self._incarnation:
                 return None
             link = self._links_by_incarnation.get(incarnation)
-            if link is not None and link.is_fresh(now):
+            if link is not None and link.is_responsive(now):
                 return link
         return None
--- a/swiftpin/platform/configuration.py
+++ b/swiftpin/platform/configuration.py
@@ -15,25 +15,27 @@
 from swiftpin.platform.json_fields import (
     FieldError,
     read_field,
+    read_integer,
     read_list,
     read_mapping,
     read_number,
-    read_text,
-    read_whole,
+    read_string,
 )
-from swiftpin.platform.names import MILLISECONDS
+from swiftpin.platform.names import MILLISECONDS_PER_SECOND
 
-KINDS_BY_WORD: Final = {
+KINDS_BY_NAME: Final = {
     "safe": RequestKind.IDEMPOTENT,
     "download": RequestKind.IDEMPOTENT,
     "unsafe": RequestKind.ONCE,
 }
 VERSION_PREFIX: Final = "r"
-MOST_DIGITS: Final = 18
+MAX_VERSION_DIGITS: Final = 18
 """Digits of a version's number, so that it fits into messages between instances."""
 
 
-def decode_in_steps(document: object) -> Generator[None, None, Configuration]:
+def decode_configuration(
+    document: object,
+) -> Generator[None, None, Configuration]:
     """Return the configuration, a step a route; raise `ConfigurationError` if wrong."""
     try:
         fields = read_mapping(document, "the configuration")
@@ -55,8 +57,8 @@
 
 def _read_version(value: object) -> int:
     """Return the number of a version, which is written behind a letter."""
-    digits = read_text(value, "version").removeprefix(VERSION_PREFIX)
-    if not digits.isascii() or not digits.isdigit() or len(digits) > MOST_DIGITS:
+    digits = read_string(value, "version").removeprefix(VERSION_PREFIX)
+    if not digits.isascii() or not digits.isdigit() or len(digits) > MAX_VERSION_DIGITS:
         raise FieldError(f"version {value!r} is not a number")
     return int(digits)
 
@@ -68,7 +70,7 @@
     routes_by_host = {}
     for entry in hosts:
         fields = read_mapping(entry, "a host")
-        name = read_text(read_field(fields, "host"), "host")
+        name = read_string(read_field(fields, "host"), "host")
         paths = read_list(read_field(fields, "paths"), "paths")
         routes = []
         for path in paths:
@@ -81,18 +83,18 @@
 
 def _decode_route(host: str, entry: dict[str, Any]) -> Route:
     """Return one route."""
-    kind = read_text(read_field(entry, "kind"), "kind")
+    kind = read_string(read_field(entry, "kind"), "kind")
     return Route(
-        name=read_text(read_field(entry, "name"), "name"),
+        name=read_string(read_field(entry, "name"), "name"),
         host=host,
-        prefix=read_text(read_field(entry, "path_prefix"), "path_prefix"),
+        prefix=read_string(read_field(entry, "path_prefix"), "path_prefix"),
         # What is not known to be repeatable must not be repeated.
-        kind=KINDS_BY_WORD.get(kind, RequestKind.ONCE),
+        kind=KINDS_BY_NAME.get(kind, RequestKind.ONCE),
         timeout=_read_seconds(entry, "timeout_ms"),
         objective=_read_seconds(entry, "target_latency_ms"),
-        priority=read_whole(entry.get("priority", 0), "priority"),
-        attempts=read_whole(entry.get("attempts", 1), "attempts"),
-        parts=_decode_parts(entry),
+        priority=read_integer(entry.get("priority", 0), "priority"),
+        max_attempts=read_integer(entry.get("attempts", 1), "attempts"),
+        weighted_services=_decode_parts(entry),
     )
 
 
@@ -100,12 +102,12 @@
     """Return the services that share a route's requests."""
     split = entry.get("traffic_split")
     if not split:
-        service = read_text(read_field(entry, "service"), "service")
+        service = read_string(read_field(entry, "service"), "service")
         return (WeightedService(service=service, weight=1.0),)
     parts = [read_mapping(part, "a part") for part in read_list(split, "traffic_split")]
     return tuple(
         WeightedService(
-            service=read_text(read_field(part, "service"), "service"),
+            service=read_string(read_field(part, "service"), "service"),
             weight=read_number(read_field(part, "weight"), "weight"),
         )
         for part in parts
@@ -116,10 +118,10 @@
     """Return one service."""
     connections = read_field(entry, "max_connections")
     return ServiceSpec(
-        name=read_text(read_field(entry, "name"), "name"),
+        name=read_string(read_field(entry, "name"), "name"),
         is_keyed=bool(entry.get("sharding", False)),
-        health_path=read_text(read_field(entry, "health_path"), "health_path"),
-        max_connections=read_whole(connections, "max_connections"),
+        health_path=read_string(read_field(entry, "health_path"), "health_path"),
+        max_connections=read_integer(connections, "max_connections"),
         warmup=read_number(entry.get("warmup_s", 0.0), "warmup_s"),
         cold_start=read_number(entry.get("cold_start_s", 0.0), "cold_start_s"),
         cold_rate=_read_cold_rate(entry),
@@ -135,13 +137,13 @@
 def _decode_limits(entry: dict[str, Any]) -> CallerLimits:
     """Return the limits for callers."""
     return CallerLimits(
-        header_bytes=read_whole(read_field(entry, "header_bytes"), "header_bytes"),
-        body_bytes=read_whole(read_field(entry, "body_bytes"), "body_bytes"),
-        header_time=_read_seconds(entry, "header_ms"),
-        idle_time=_read_seconds(entry, "idle_ms"),
+        header_bytes=read_integer(read_field(entry, "header_bytes"), "header_bytes"),
+        body_bytes=read_integer(read_field(entry, "body_bytes"), "body_bytes"),
+        header_timeout=_read_seconds(entry, "header_ms"),
+        idle_timeout=_read_seconds(entry, "idle_ms"),
     )
 
 
 def _read_seconds(entry: dict[str, Any], name: str) -> float:
     """Return a time that is written in milliseconds."""
-    return read_number(read_field(entry, name), name) / MILLISECONDS
+    return read_number(read_field(entry, name), name) / MILLISECONDS_PER_SECOND
--- a/swiftpin/platform/json_fields.py
+++ b/swiftpin/platform/json_fields.py
@@ -12,7 +12,7 @@
 
 import orjson
 
-LARGEST_WHOLE: Final = 2**63 - 1
+MAX_INTEGER: Final = 2**63 - 1
 """Largest whole number that every reader of the store's JSON takes."""
 
 
@@ -41,10 +41,10 @@
         raise FieldError(f"not JSON: {err}") from err
 
 
-def read_mapping(value: object, what: str) -> dict[str, Any]:
+def read_mapping(value: object, label: str) -> dict[str, Any]:
     """Return a JSON object."""
     if not isinstance(value, dict):
-        raise FieldError(f"{what} is not an object")
+        raise FieldError(f"{label} is not an object")
     return value
 
 
@@ -55,48 +55,48 @@
     return mapping[name]
 
 
-def read_list(value: object, what: str) -> list[Any]:
+def read_list(value: object, label: str) -> list[Any]:
     """Return a JSON array."""
     if not isinstance(value, list):
-        raise FieldError(f"{what} is not an array")
+        raise FieldError(f"{label} is not an array")
     return value
 
 
-def read_text(value: object, what: str, *, may_be_empty: bool = False) -> str:
+def read_string(value: object, label: str, *, may_be_empty: bool = False) -> str:
     """Return a text that can be written again."""
     if not isinstance(value, str):
-        raise FieldError(f"{what} is not a text")
+        raise FieldError(f"{label} is not a text")
     if not value and not may_be_empty:
-        raise FieldRangeError(f"{what} is empty")
+        raise FieldRangeError(f"{label} is empty")
     try:
         value.encode()
     except UnicodeEncodeError as err:
-        raise FieldRangeError(f"{what} is not proper Unicode") from err
+        raise FieldRangeError(f"{label} is not proper Unicode") from err
     return value
 
 
-def read_flag(value: object, what: str) -> bool:
+def read_boolean(value: object, label: str) -> bool:
     """Return true or false."""
     if not isinstance(value, bool):
-        raise FieldError(f"{what} is not true or false")
+        raise FieldError(f"{label} is not true or false")
     return value
 
 
-def read_whole(
-    value: object, what: str, *, least: int = 0, most: int = LARGEST_WHOLE
+def read_integer(
+    value: object, label: str, *, minimum: int = 0, maximum: int = MAX_INTEGER
 ) -> int:
     """Return a whole number within bounds; true and false are none."""
     if not isinstance(value, int) or isinstance(value, bool):
-        raise FieldError(f"{what} is not a whole number")
-    if not least <= value <= most:
-        raise FieldRangeError(f"{what} is out of range")
+        raise FieldError(f"{label} is not a whole number")
+    if not minimum <= value <= maximum:
+        raise FieldRangeError(f"{label} is out of range")
     return value
 
 
-def read_number(value: object, what: str, *, most: float = float(2**53)) -> float:
-    """Return a number from 0 to `most`."""
+def read_number(value: object, label: str, *, maximum: float = float(2**53)) -> float:
+    """Return a number from 0 to `maximum`."""
     if not isinstance(value, int | float) or isinstance(value, bool):
-        raise FieldError(f"{what} is not a number")
-    if not 0 <= value <= most or not math.isfinite(value):
-        raise FieldRangeError(f"{what} is out of range")
+        raise FieldError(f"{label} is not a number")
+    if not 0 <= value <= maximum or not math.isfinite(value):
+        raise FieldRangeError(f"{label} is out of range")
     return float(value)
--- a/swiftpin/platform/names.py
+++ b/swiftpin/platform/names.py
@@ -7,13 +7,13 @@
 HEADER_REQUEST_ID: Final = "Swiftpin-Request-Id"
 HEADER_DEADLINE: Final = "Swiftpin-Deadline-Milliseconds"
 HEADER_SIGNATURE: Final = "Swiftpin-Upstream-Signature"
-HEADER_EXPECTED: Final = "Swiftpin-Expected-Instance"
+HEADER_EXPECTED_INSTANCE: Final = "Swiftpin-Expected-Instance"
 HEADER_LOAD: Final = "Swiftpin-Upstream-Load"
 HEADER_NOT_EXECUTED: Final = "Swiftpin-Not-Executed"
 HEADER_INSTANCE: Final = "Swiftpin-Instance-Id"
 HEADER_KEY: Final = "Swiftpin-Shard-Key"
 HEADER_HANDOVER: Final = "Swiftpin-Handover"
-HEADER_ERA: Final = "Store-Era"
+HEADER_STORE_ERA: Final = "Store-Era"
 
 PATH_READINESS: Final = "/api/readiness"
 PATH_GRANT: Final = "/api/grant"
@@ -25,7 +25,7 @@
 KIND_TARGETS: Final = "servers"
 KIND_EVACUATIONS: Final = "evacuations"
 
-VARIABLE_SETTINGS: Final = "SWIFTPIN_SETTINGS"
-JSON_TYPE: Final = "application/json"
-BYTES_A_MEGABIT: Final = 125_000
-MILLISECONDS: Final = 1000.0
+ENV_SETTINGS: Final = "SWIFTPIN_SETTINGS"
+CONTENT_TYPE_JSON: Final = "application/json"
+BYTES_PER_MEGABIT: Final = 125_000
+MILLISECONDS_PER_SECOND: Final = 1000.0
--- a/swiftpin/platform/request_head.py
+++ b/swiftpin/platform/request_head.py
@@ -14,31 +14,31 @@
 from swiftpin.const import HOP_BY_HOP
 from swiftpin.platform.names import (
     HEADER_DEADLINE,
-    HEADER_EXPECTED,
+    HEADER_EXPECTED_INSTANCE,
     HEADER_INSTANCE,
     HEADER_KEY,
     HEADER_LOAD,
     HEADER_NOT_EXECUTED,
     HEADER_REQUEST_ID,
     HEADER_SIGNATURE,
-    MILLISECONDS,
+    MILLISECONDS_PER_SECOND,
 )
 
 DEFAULT_DEADLINE: Final = 10.0
 """Seconds for a caller that names none; callers of the platform always name one."""
 
 MAX_KEY: Final = 65535
-USUAL_WORK: Final = 100
+NORMAL_WORK_PERCENT: Final = 100
 """What the load header gives for a machine on which work takes as long as usual."""
 
-REQUEST_DROPPED: Final = HOP_BY_HOP | {
+DROPPED_REQUEST_HEADERS: Final = HOP_BY_HOP | {
     "content-length",
     "expect",
     "host",
     HEADER_DEADLINE.lower(),
-    HEADER_EXPECTED.lower(),
+    HEADER_EXPECTED_INSTANCE.lower(),
 }
-ANSWER_DROPPED: Final = HOP_BY_HOP | {"content-length"}
+DROPPED_ANSWER_HEADERS: Final = HOP_BY_HOP | {"content-length"}
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -59,7 +59,7 @@
     running: int
     waiting: int
     slots: int
-    work_factor: float = 1.0
+    slowdown_factor: float = 1.0
     """How many times as long as usual work takes on its machine at the moment."""
 
 
@@ -86,20 +86,24 @@
     key = None if key_text is None else int(key_text)
     if key is not None and not 0 <= key <= MAX_KEY:
         raise ValueError(f"key {key} is out of range")
-    seconds = DEFAULT_DEADLINE if deadline is None else float(deadline) / MILLISECONDS
+    seconds = (
+        DEFAULT_DEADLINE
+        if deadline is None
+        else float(deadline) / MILLISECONDS_PER_SECOND
+    )
     if not math.isfinite(seconds):
         raise ValueError("the deadline is not a time")
     return RequestHead(id=headers.get(HEADER_REQUEST_ID, ""), deadline=seconds, key=key)
 
 
 def encode_request_headers(
-    received: Iterable[tuple[str, str]], host: str, target_id: str, left: float
+    received: Iterable[tuple[str, str]], host: str, target_id: str, remaining: float
 ) -> CIMultiDict[str]:
     """Return the headers of a request to a target with `left` seconds to go."""
-    headers = _kept(received, REQUEST_DROPPED)
+    headers = _kept(received, DROPPED_REQUEST_HEADERS)
     headers[HOST] = host
-    headers[HEADER_DEADLINE] = str(max(int(left * MILLISECONDS), 1))
-    headers[HEADER_EXPECTED] = target_id
+    headers[HEADER_DEADLINE] = str(max(int(remaining * MILLISECONDS_PER_SECOND), 1))
+    headers[HEADER_EXPECTED_INSTANCE] = target_id
     return headers
 
 
@@ -126,7 +130,7 @@
 
 def encode_answer_headers(received: Iterable[tuple[str, str]]) -> CIMultiDict[str]:
     """Return the headers of a target's answer that go on to the caller."""
-    return _kept(received, ANSWER_DROPPED)
+    return _kept(received, DROPPED_ANSWER_HEADERS)
 
 
 def own_answer_headers(request_id: str) -> CIMultiDict[str]:
@@ -156,12 +160,12 @@
     except ValueError:
         # A spoilt header says nothing about the load; the answer may still be good.
         return None
-    percent = shared[0] if shared else USUAL_WORK
+    percent = shared[0] if shared else NORMAL_WORK_PERCENT
     if min(running, waiting, slots) < 0 or percent <= 0 or len(shared) > 1:
         return None
     return TargetLoad(
         running=running,
         waiting=waiting,
         slots=slots,
-        work_factor=percent / USUAL_WORK,
+        slowdown_factor=percent / NORMAL_WORK_PERCENT,
     )
--- a/swiftpin/platform/settings.py
+++ b/swiftpin/platform/settings.py
@@ -11,7 +11,7 @@
 from swiftpin.helpers.address import parse_address
 from swiftpin.model.bounds import Bounds
 from swiftpin.model.instance_settings import InstanceSettings
-from swiftpin.platform.names import BYTES_A_MEGABIT, MILLISECONDS
+from swiftpin.platform.names import BYTES_PER_MEGABIT, MILLISECONDS_PER_SECOND
 
 
 def read_settings(path: str) -> InstanceSettings:
@@ -50,17 +50,17 @@
     return InstanceSettings(
         name=own["node"],
         zone=own["zone"],
-        callers=parse_address(listen["front"]),
-        readiness=parse_address(listen["ready"]),
-        peers=parse_address(f"{own['ip']}:{peer_port}"),
+        caller_address=parse_address(listen["front"]),
+        readiness_address=parse_address(listen["ready"]),
+        peer_address=parse_address(f"{own['ip']}:{peer_port}"),
         seeds=seeds,
-        store=parse_address(platform["platform"]["address"]),
+        store_address=parse_address(platform["platform"]["address"]),
         bounds=_decode_bounds(document["terms"]["bounds"]),
-        target_heartbeat=platform["heartbeat_ms"] / MILLISECONDS,
+        target_heartbeat=platform["heartbeat_ms"] / MILLISECONDS_PER_SECOND,
         # A core is that many times as fast as a usual one, and only a share of it is
         # the process's own.
-        strength=own["limits"]["cpu_share"] * own["limits"]["cores"],
-        bandwidth=own["limits"].get("link_mbps", 0.0) * BYTES_A_MEGABIT,
+        cpu_capacity=own["limits"]["cpu_share"] * own["limits"]["cores"],
+        bandwidth=own["limits"].get("link_mbps", 0.0) * BYTES_PER_MEGABIT,
         first_start=bool(own["bootstrap"]),
     )
 
@@ -68,16 +68,16 @@
 def _decode_bounds(bounds: dict[str, Any]) -> Bounds:
     """Return the time bounds; the wire gives most of them in milliseconds."""
     return Bounds(
-        drain=bounds["drain_ms"] / MILLISECONDS,
-        apply=bounds["config_apply_ms"] / MILLISECONDS,
-        grace=float(bounds["grace_s"]),
-        longest_hold=bounds["hold_max_ms"] / MILLISECONDS,
+        drain_limit=bounds["drain_ms"] / MILLISECONDS_PER_SECOND,
+        apply_limit=bounds["config_apply_ms"] / MILLISECONDS_PER_SECOND,
+        shutdown_grace=float(bounds["grace_s"]),
+        max_hold=bounds["hold_max_ms"] / MILLISECONDS_PER_SECOND,
         retry_ratio=float(bounds["budget_ratio"]),
         retry_window=float(bounds["budget_window_s"]),
         retry_slack=float(bounds["budget_slack"]),
-        stability=bounds["stability_window_ms"] / MILLISECONDS,
-        evacuation=(
-            bounds["evacuation_ms"] / MILLISECONDS
+        stability_period=bounds["stability_window_ms"] / MILLISECONDS_PER_SECOND,
+        evacuation_limit=(
+            bounds["evacuation_ms"] / MILLISECONDS_PER_SECOND
             if "evacuation_ms" in bounds
             else None
         ),
--- a/swiftpin/platform/store_answers.py
+++ b/swiftpin/platform/store_answers.py
@@ -6,15 +6,15 @@
 from typing import Any
 
 from swiftpin.exceptions import AnswerBrokenError, StoreUnavailableError
-from swiftpin.model.store_revision import ERA_SIZE, LAST_ERA, make_revision
+from swiftpin.model.store_revision import MAX_ERA, REVISIONS_PER_ERA, make_revision
 from swiftpin.platform.json_fields import (
     FieldError,
+    read_boolean,
     read_field,
-    read_flag,
+    read_integer,
     read_list,
     read_mapping,
-    read_text,
-    read_whole,
+    read_string,
 )
 from swiftpin.platform.platform_object import PlatformObject
 
@@ -53,7 +53,7 @@
             objects=tuple(_decode_item(item, era) for item in items),
             # The store's revision when it made the page.
             revision=_read_revision(fields, "at", era),
-            has_more=read_flag(fields.get("more", False), "more"),
+            has_more=read_boolean(fields.get("more", False), "more"),
         )
     except FieldError as err:
         raise StoreUnavailableError(f"a malformed list: {err}") from err
@@ -76,18 +76,19 @@
     """Return the era that an answer tells; raise `AnswerBrokenError` if unreadable."""
     if text is None:
         return None
-    if text.isascii() and text.isdigit() and len(text) < len(str(LAST_ERA)):
+    if text.isascii() and text.isdigit() and len(text) < len(str(MAX_ERA)):
         return int(text)
     raise AnswerBrokenError(f"era {text[:20]!r} is not a whole number")
 
 
 def _read_revision(
-    fields: dict[str, Any], name: str, era: int, *, least: int = 0
+    fields: dict[str, Any], name: str, era: int, *, minimum: int = 0
 ) -> int:
     """Return a revision of the store in an era."""
-    most = ERA_SIZE - 1
+    maximum = REVISIONS_PER_ERA - 1
     return make_revision(
-        era, read_whole(read_field(fields, name), name, least=least, most=most)
+        era,
+        read_integer(read_field(fields, name), name, minimum=minimum, maximum=maximum),
     )
 
 
@@ -96,9 +97,9 @@
     fields = read_mapping(entry, "the object")
     metadata = read_mapping(read_field(fields, "metadata"), "metadata")
     return PlatformObject(
-        name=read_text(read_field(metadata, "name"), "name"),
-        revision=_read_revision(metadata, "revision", era, least=1),
-        is_deleted=read_flag(metadata.get("deleting", False), "deleting"),
+        name=read_string(read_field(metadata, "name"), "name"),
+        revision=_read_revision(metadata, "revision", era, minimum=1),
+        is_deleted=read_boolean(metadata.get("deleting", False), "deleting"),
         document=fields,
     )
 
@@ -125,7 +126,7 @@
     """Return the name of an object of which other fields can't be read."""
     try:
         metadata = read_mapping(entry, "the object").get("metadata")
-        return read_text(read_mapping(metadata, "metadata").get("name"), "name")
+        return read_string(read_mapping(metadata, "metadata").get("name"), "name")
     except FieldError:
         return ""
 
--- a/swiftpin/platform/store_client.py
+++ b/swiftpin/platform/store_client.py
@@ -25,14 +25,14 @@
     StoreOutcomeUnknownError,
     StoreUnavailableError,
 )
-from swiftpin.helpers.whole_body import WholeBody
+from swiftpin.helpers.bytes_body import BytesBody
 from swiftpin.model.store_era import StoreEra
 from swiftpin.model.store_revision import era_of, number_of
 from swiftpin.platform.json_fields import FieldError, load_json
 from swiftpin.platform.names import (
-    HEADER_ERA,
-    JSON_TYPE,
-    MILLISECONDS,
+    CONTENT_TYPE_JSON,
+    HEADER_STORE_ERA,
+    MILLISECONDS_PER_SECOND,
     PATH_OBJECTS,
 )
 from swiftpin.platform.platform_object import PlatformObject
@@ -53,7 +53,7 @@
 WATCH_GRACE: Final = 1.0
 """Seconds beyond a watch's own wait until its connection counts as silent."""
 
-LIST_PAGES: Final = 1000
+MAX_LIST_PAGES: Final = 1000
 
 
 class StoreClient:
@@ -81,7 +81,7 @@
         objects: list[PlatformObject] = []
         after = ""
         first_revision: int | None = None
-        for _ in range(LIST_PAGES):
+        for _ in range(MAX_LIST_PAGES):
             query = f"?after={quote(after, safe='')}" if after else ""
             page = decode_list(*await self._async_read(f"{kind}{query}"))
             if self.era.is_outdated(first_revision):
@@ -114,7 +114,7 @@
         `StoreUnavailableError` when nothing came `grace` seconds after the wait.
         """
         number = number_of(revision)
-        query = f"?watch={number}&wait_ms={int(wait * MILLISECONDS)}"
+        query = f"?watch={number}&wait_ms={int(wait * MILLISECONDS_PER_SECOND)}"
         if self.era.is_outdated(revision):
             raise HistoryGoneError(f"{kind}{query} of era {era_of(revision)}")
         limit = wait + grace
@@ -217,12 +217,12 @@
         """Return status, body and era of one exchange."""
         headers = CIMultiDict({HOST: self._address})
         if payload:
-            headers[CONTENT_TYPE] = JSON_TYPE
+            headers[CONTENT_TYPE] = CONTENT_TYPE_JSON
         request = HttpRequest(
             method=method,
             path=f"{PATH_OBJECTS}/{path}",
             headers=headers,
-            body=WholeBody(payload),
+            body=BytesBody(payload),
         )
         outcome = "no_answer"
         try:
@@ -232,7 +232,9 @@
                 )
                 try:
                     answer.extend_while_arriving(timeout)
-                    era = self.era.note(decode_era(answer.headers.get(HEADER_ERA)))
+                    era = self.era.observe(
+                        decode_era(answer.headers.get(HEADER_STORE_ERA))
+                    )
                     body = await answer.async_read_whole()
                 finally:
                     answer.finish(monotonic_now())
--- a/swiftpin/platform/target_control.py
+++ b/swiftpin/platform/target_control.py
@@ -23,13 +23,13 @@
     TargetError,
     TargetUnreachableError,
 )
-from swiftpin.helpers.whole_body import WholeBody
+from swiftpin.helpers.bytes_body import BytesBody
 from swiftpin.platform.names import (
-    HEADER_EXPECTED,
+    CONTENT_TYPE_JSON,
+    HEADER_EXPECTED_INSTANCE,
     HEADER_HANDOVER,
     HEADER_INSTANCE,
-    JSON_TYPE,
-    MILLISECONDS,
+    MILLISECONDS_PER_SECOND,
     PATH_GRANT,
     PATH_RELEASE,
 )
@@ -166,7 +166,7 @@
             method="GET",
             path=health_path,
             headers=CIMultiDict({HOST: address}),
-            body=WholeBody(b""),
+            body=BytesBody(b""),
         )
         try:
             async with asyncio.timeout(limit):
@@ -198,9 +198,13 @@
         method=METHOD,
         path=path,
         headers=CIMultiDict(
-            {HOST: address, CONTENT_TYPE: JSON_TYPE, HEADER_EXPECTED: target_id}
+            {
+                HOST: address,
+                CONTENT_TYPE: CONTENT_TYPE_JSON,
+                HEADER_EXPECTED_INSTANCE: target_id,
+            }
         ),
-        body=WholeBody(orjson.dumps(document)),
+        body=BytesBody(orjson.dumps(document)),
     )
 
 
@@ -233,7 +237,7 @@
 def _grant_document(call: GrantCall, fence: int) -> dict[str, int | str]:
     """Return the body of a grant."""
     grant = KeyGrant(first=call.first, last=call.last, fence=fence)
-    document = _document(grant) | {"hold_ms": int(call.hold * MILLISECONDS)}
+    document = _document(grant) | {"hold_ms": int(call.hold * MILLISECONDS_PER_SECOND)}
     if call.handover is not None:
         document["handover"] = call.handover
     return document
--- a/swiftpin/platform/target_entries.py
+++ b/swiftpin/platform/target_entries.py
@@ -15,26 +15,26 @@
     FieldError,
     FieldRangeError,
     load_json,
+    read_boolean,
     read_field,
-    read_flag,
+    read_integer,
     read_list,
     read_mapping,
     read_number,
-    read_text,
-    read_whole,
+    read_string,
 )
-from swiftpin.platform.names import MILLISECONDS
+from swiftpin.platform.names import MILLISECONDS_PER_SECOND
 from swiftpin.platform.platform_object import PlatformObject
 from swiftpin.platform.unusable_entry import UnusableEntryError, UnusableReason
 
 STATE_READY: Final = "ready"
 STATE_DRAINING: Final = "draining"
 
-MOST_SLOTS: Final = 100_000
+MAX_SLOTS: Final = 100_000
 """Slots that a target may tell: far above any server's, and few enough that a queue
 sized by them does no harm."""
 
-LONGEST_COLD: Final = 3_600_000.0
+MAX_COLD_MILLISECONDS: Final = 3_600_000.0
 """Milliseconds for which a target may say that it is slow after its start."""
 
 
@@ -73,17 +73,19 @@
     # beside the specification, stays empty.
     status = read_mapping(read_field(declared, "status"), "status")
     # Not used here, but whoever does not tell them is not a target.
-    read_text(read_field(about, "version"), "version")
-    read_whole(read_field(status, "sequence"), "sequence")
-    cold = read_number(read_field(status, "cold_ms"), "cold_ms", most=LONGEST_COLD)
+    read_string(read_field(about, "version"), "version")
+    read_integer(read_field(status, "sequence"), "sequence")
+    cold = read_number(
+        read_field(status, "cold_ms"), "cold_ms", maximum=MAX_COLD_MILLISECONDS
+    )
     return Target(
         life=TargetLife(name=entry.name, started_ms=_read_start(declared)),
-        service=read_text(read_field(about, "service"), "service"),
+        service=read_string(read_field(about, "service"), "service"),
         address=_read_address(read_field(declared, "address")),
-        zone=read_text(read_field(about, "zone"), "zone"),
+        zone=read_string(read_field(about, "zone"), "zone"),
         slots=_read_slots(read_field(about, "slots")),
         is_draining=_read_state(read_field(status, "state")) == STATE_DRAINING,
-        cold_for=cold / MILLISECONDS,
+        cold_for=cold / MILLISECONDS_PER_SECOND,
         revision=entry.revision,
     )
 
@@ -92,7 +94,7 @@
     """Return the Unix time of a target's start in milliseconds, None if not told."""
     if "born" not in declared:
         return None
-    return read_whole(declared["born"], "born")
+    return read_integer(declared["born"], "born")
 
 
 def _read_state(value: object) -> str:
@@ -101,7 +103,7 @@
     Taken for a target that serves, one in an unknown state would get requests that it
     may not run.
     """
-    state = read_text(value, "state")
+    state = read_string(value, "state")
     if state not in (STATE_READY, STATE_DRAINING):
         raise _UnknownStateError(f"state {state!r} is not known")
     return state
@@ -109,12 +111,12 @@
 
 def _read_slots(value: object) -> int:
     """Return how many requests a target runs at the same time."""
-    return read_whole(value, "slots", least=1, most=MOST_SLOTS)
+    return read_integer(value, "slots", minimum=1, maximum=MAX_SLOTS)
 
 
 def _read_address(value: object) -> str:
     """Return an address with a port."""
-    text = read_text(value, "address")
+    text = read_string(value, "address")
     try:
         port = parse_address(text).port
     except ValueError as err:
@@ -154,14 +156,14 @@
     started = read_field(fields, "started_ms")
     return Target(
         life=TargetLife(
-            name=read_text(read_field(fields, "name"), "name"),
-            started_ms=None if started is None else read_whole(started, "started_ms"),
+            name=read_string(read_field(fields, "name"), "name"),
+            started_ms=None if started is None else read_integer(started, "started_ms"),
         ),
-        service=read_text(read_field(fields, "service"), "service"),
+        service=read_string(read_field(fields, "service"), "service"),
         address=_read_address(read_field(fields, "address")),
-        zone=read_text(read_field(fields, "zone"), "zone"),
+        zone=read_string(read_field(fields, "zone"), "zone"),
         slots=_read_slots(read_field(fields, "slots")),
-        is_draining=read_flag(read_field(fields, "is_draining"), "is_draining"),
+        is_draining=read_boolean(read_field(fields, "is_draining"), "is_draining"),
         cold_for=read_number(read_field(fields, "cold_for"), "cold_for"),
-        revision=read_whole(read_field(fields, "revision"), "revision", least=1),
+        revision=read_integer(read_field(fields, "revision"), "revision", minimum=1),
     )
--- a/swiftpin/router/app.py
+++ b/swiftpin/router/app.py
@@ -65,10 +65,10 @@
         self._metrics.add_log(logging.writer)
         self._health = StoreHealth()
         self._configuration = ConfigurationHolder()
-        self._configuration.lag.set_apply_bound(settings.bounds.apply)
-        self._evacuations = Evacuations(settings.bounds.evacuation)
+        self._configuration.lag.set_apply_bound(settings.bounds.apply_limit)
+        self._evacuations = Evacuations(settings.bounds.evacuation_limit)
         self._directory = TargetDirectory(
-            self._health, settings.bounds.drain, self._evacuations
+            self._health, settings.bounds.drain_limit, self._evacuations
         )
         self._directory.unusable.on_unusable = self._metrics.note_unusable_entry
         self._maps = KeyMaps()
@@ -76,7 +76,9 @@
         self._fleet_size = FleetSize()
         self._clients = HttpClients()
         self._store = StoreClient(
-            str(settings.store), self._clients.store, self._metrics.note_store_call
+            str(settings.store_address),
+            self._clients.store,
+            self._metrics.note_store_call,
         )
         self._permits = PermitBroker(
             incarnation, settings.zone, self._metrics.note_turnaround
@@ -84,19 +86,19 @@
         self._lease = LeaseElection(
             name=settings.name,
             incarnation=incarnation,
-            peer=str(settings.peers),
+            peer=str(settings.peer_address),
             client=self._store,
             health=self._health,
             rng=Random(incarnation),
-            strength=settings.strength,
+            strength=settings.cpu_capacity,
             first_start=settings.first_start,
             is_holder_heard=self._is_holder_heard,
             is_linked=self._is_linked,
         )
         self._fleet = FleetCoordinator(
             incarnation=incarnation,
-            own_peer=str(settings.peers),
-            strength=settings.strength,
+            own_peer=str(settings.peer_address),
+            strength=settings.cpu_capacity,
             bandwidth=settings.bandwidth,
             seeds=settings.seeds,
             lease=self._lease,
@@ -185,10 +187,10 @@
             message_type="instance_started",
             incarnation=self._incarnation,
             zone=settings.zone,
-            callers=str(settings.callers),
-            store=str(settings.store),
+            callers=str(settings.caller_address),
+            store=str(settings.store_address),
         )
-        await self._fleet.links.async_setup(settings.peers)
+        await self._fleet.links.async_setup(settings.peer_address)
         await self._listeners.async_setup(settings)
         configuration = StoreFollower(
             KIND_CONFIGURATION,
@@ -208,7 +210,7 @@
         )
         self._tasks.start(configuration.async_run())
         self._tasks.start(targets.async_run())
-        if settings.bounds.evacuation is not None:
+        if settings.bounds.evacuation_limit is not None:
             evacuations = StoreFollower(
                 KIND_EVACUATIONS,
                 self._store,
@@ -226,7 +228,7 @@
 
     async def async_stop(self) -> None:
         """Leave: serve what is in flight, give duties away, end in time."""
-        await self._stop.async_run(self._settings.bounds.grace)
+        await self._stop.async_run(self._settings.bounds.shutdown_grace)
 
     async def async_unload(self) -> None:
         """Close everything."""
@@ -244,9 +246,9 @@
         )
         self._settings = settings
         self._assigners.settings = settings
-        self._directory.set_drain(settings.bounds.drain)
-        self._evacuations.set_bound(settings.bounds.evacuation)
-        self._configuration.lag.set_apply_bound(settings.bounds.apply)
+        self._directory.set_drain(settings.bounds.drain_limit)
+        self._evacuations.set_bound(settings.bounds.evacuation_limit)
+        self._configuration.lag.set_apply_bound(settings.bounds.apply_limit)
         self._sender.retries.set_bounds(settings.bounds)
 
     @callback
--- a/swiftpin/router/assigner_factory.py
+++ b/swiftpin/router/assigner_factory.py
@@ -69,7 +69,7 @@
             lease=self._lease,
             fences=fences,
             health=self._health,
-            longest_hold=self.settings.bounds.longest_hold,
+            longest_hold=self.settings.bounds.max_hold,
             health_path=configuration.services_by_name[service].health_path,
             on_map=self._key_maps.hand_out,
             count_members=lambda: self._permits.issuers.members,
@@ -99,5 +99,5 @@
     def _longest_request(self) -> float:
         """Return after how many seconds no request sent before is at work any more."""
         configuration = self._configuration.current
-        longest = 0.0 if configuration is None else configuration.longest_timeout
+        longest = 0.0 if configuration is None else configuration.max_route_timeout
         return longest + WORK_MARGIN
--- a/swiftpin/router/configuration_holder.py
+++ b/swiftpin/router/configuration_holder.py
@@ -13,9 +13,9 @@
 
 from swiftpin.core import callback
 from swiftpin.exceptions import ConfigurationError
-from swiftpin.helpers.slices import run_slice
+from swiftpin.helpers.time_slices import run_time_slice
 from swiftpin.model.configuration import Configuration
-from swiftpin.platform.configuration import decode_in_steps
+from swiftpin.platform.configuration import decode_configuration
 from swiftpin.platform.json_fields import FieldError, load_json
 from swiftpin.platform.names import NAME_CONFIGURATION
 from swiftpin.platform.platform_object import PlatformObject
@@ -108,7 +108,7 @@
         except (FieldError, zlib.error) as err:
             self._refuse(source, str(err))
             return
-        self._decode(decode_in_steps(document), source, now)
+        self._decode(decode_configuration(document), source, now)
 
     @callback
     def _adopt_stored(self, document: object, now: float) -> None:
@@ -119,13 +119,13 @@
             self._refuse(_Source(name="store"), str(err))
             return
         source = _Source(name="store", packed=packed)
-        self._decode(decode_in_steps(document), source, now)
+        self._decode(decode_configuration(document), source, now)
 
     @callback
     def _decode(self, decoding: Decoding, source: _Source, now: float) -> None:
         """Go on with decoding; a long document lets others go on in between."""
         try:
-            done = run_slice(decoding)
+            done = run_time_slice(decoding)
         except ConfigurationError as err:
             self._refuse(source, str(err))
             return
--- a/swiftpin/router/daemon.py
+++ b/swiftpin/router/daemon.py
@@ -14,7 +14,7 @@
 from swiftpin.exceptions import ConfigurationError
 from swiftpin.helpers.log_volume import ROUTER_LOG_VOLUME
 from swiftpin.helpers.logging_setup import LoggingSetup
-from swiftpin.platform.names import VARIABLE_SETTINGS
+from swiftpin.platform.names import ENV_SETTINGS
 from swiftpin.platform.settings import read_settings
 from swiftpin.router.app import Router
 
@@ -28,7 +28,7 @@
 
 def run() -> int:
     """Run one instance until it is told to stop; return the exit status."""
-    path = os.environ.get(VARIABLE_SETTINGS, "")
+    path = os.environ.get(ENV_SETTINGS, "")
     try:
         return uvloop.run(async_run(path))
     except ConfigurationError as err:
--- a/swiftpin/router/decision_basis.py
+++ b/swiftpin/router/decision_basis.py
@@ -8,7 +8,7 @@
 from swiftpin.core import callback
 from swiftpin.discovery.target_directory import TargetDirectory
 from swiftpin.helpers.clock import suspend_aware_now
-from swiftpin.helpers.logging_format import ABSENT, cached_text
+from swiftpin.helpers.logging_format import ABSENT, format_text_cached
 from swiftpin.router.key_maps import KeyMaps
 
 MILLISECONDS: Final = 1000.0
@@ -41,7 +41,7 @@
         if self.key_map is not None:
             key_map = f"{self.key_map[0]}.{self.key_map[1]}"
         age = self.targets_age * MILLISECONDS
-        source = cached_text(self.targets_source)
+        source = format_text_cached(self.targets_source)
         return (
             f"key_map={key_map} targets={self.targets} targets_age_ms={age:.0f} "
             f"targets_source={source}"
--- a/swiftpin/router/document_ask.py
+++ b/swiftpin/router/document_ask.py
@@ -93,7 +93,7 @@
         link = self._asked
         if link is None or link.is_closed:
             return False
-        return now - max(self._asked_at, link.fragment_at) < ANSWER_LIMIT
+        return now - max(self._asked_at, link.last_fragment_at) < ANSWER_LIMIT
 
     @callback
     def _choose(self, ahead: list[PeerLink], now: float) -> PeerLink:
@@ -103,6 +103,6 @@
         asks it alone learns of a leaving target that much later. Each instance chooses
         at random, since many fall behind at the same moment.
         """
-        heard = [link for link in ahead if link.is_fresh(now)] or ahead
+        heard = [link for link in ahead if link.is_responsive(now)] or ahead
         others = [link for link in heard if link.incarnation != self._last_asked]
         return self._rng.choice(others or heard)
--- a/swiftpin/router/extension_votes.py
+++ b/swiftpin/router/extension_votes.py
@@ -84,7 +84,7 @@
 
         Counted from before the vote was made, so it never looks longer.
         """
-        link.vote_until = max(link.vote_until, echo + VOTE_TIME)
+        link.vote_expires_at = max(link.vote_expires_at, echo + VOTE_TIME)
         self._lease.extended_until = self._extended_until()
 
     @callback
@@ -94,7 +94,7 @@
         for link in self._links.incoming:
             name = link.incarnation.partition("/")[0]
             known = until_by_name.get(name, 0.0)
-            until_by_name[name] = max(known, link.vote_until)
+            until_by_name[name] = max(known, link.vote_expires_at)
         return min(
             (until_by_name.get(name, 0.0) for name in self._lease.voters),
             default=math.inf,
--- a/swiftpin/router/fleet_coordinator.py
+++ b/swiftpin/router/fleet_coordinator.py
@@ -68,7 +68,7 @@
         links = self.links = FleetLinks(
             incarnation=incarnation,
             own_peer=own_peer,
-            strength=strength,
+            cpu_capacity=strength,
             handler=self,
             bandwidth=bandwidth,
         )
@@ -179,7 +179,7 @@
         """Learn who is at the other side, and give it what it needs."""
         link.incarnation = hello.incarnation
         link.peer = hello.peer
-        link.strength = hello.strength
+        link.cpu_capacity = hello.strength
         self._permits.note_link(link)
         log_message(
             message_type="peer_linked",
@@ -221,4 +221,4 @@
             *self._permits.issuers.peers_by_incarnation.values(),
         }
         wanted.discard("")
-        self.links.want(wanted or set(self._seeds))
+        self.links.set_peers(wanted or set(self._seeds))
--- a/swiftpin/router/holder_view.py
+++ b/swiftpin/router/holder_view.py
@@ -85,7 +85,7 @@
             if link.heartbeat is not None
             and link.heartbeat.leads
             and not link.heartbeat.store_lost
-            and link.is_fresh(now)
+            and link.is_responsive(now)
         ]
         return max(links, key=_term, default=None)
 
--- a/swiftpin/router/issuer_list.py
+++ b/swiftpin/router/issuer_list.py
@@ -141,7 +141,7 @@
         for link in self._links.live_links():
             if link.is_outgoing or link.heartbeat is None or link.heartbeat.stopping:
                 continue
-            members[link.incarnation] = (link.strength, link.peer)
+            members[link.incarnation] = (link.cpu_capacity, link.peer)
         if self._lifecycle.leaving:
             del members[self._incarnation]
         return members
--- a/swiftpin/router/known_leader.py
+++ b/swiftpin/router/known_leader.py
@@ -49,6 +49,6 @@
             link.heartbeat is not None
             and link.heartbeat.leads
             and link.heartbeat.term >= term
-            and now - link.heard_at < LEADER_SILENCE
+            and now - link.last_received_at < LEADER_SILENCE
             for link in self._links.live_links()
         )
--- a/swiftpin/router/listeners.py
+++ b/swiftpin/router/listeners.py
@@ -38,9 +38,9 @@
 
     async def async_setup(self, settings: InstanceSettings) -> None:
         """Listen, on the balancer's address first."""
-        await self._readiness.async_setup(settings.readiness)
-        await self.callers.async_setup(settings.callers)
-        metrics = Address(host=settings.peers.host, port=METRICS_PORT)
+        await self._readiness.async_setup(settings.readiness_address)
+        await self.callers.async_setup(settings.caller_address)
+        metrics = Address(host=settings.peer_address.host, port=METRICS_PORT)
         await self._metrics.async_setup(metrics)
 
     async def async_unload(self) -> None:
--- a/swiftpin/router/request_handler.py
+++ b/swiftpin/router/request_handler.py
@@ -157,7 +157,7 @@
         if self._configuration.lag.is_refusing(now):
             raise _outdated_error()
         if isinstance(protocol, GatewayProtocol):
-            protocol.set_idle_limit(configuration.limits.idle_time)
+            protocol.set_idle_limit(configuration.limits.idle_timeout)
         route = configuration.find_route(request.host, request.path)
         if route is None and self._configuration.lag.is_outdated(now):
             raise _outdated_error()
--- a/swiftpin/router/request_log.py
+++ b/swiftpin/router/request_log.py
@@ -12,12 +12,12 @@
 from swiftpin.core import callback
 from swiftpin.discovery.target_directory import TargetDirectory
 from swiftpin.exceptions import RequestError
-from swiftpin.helpers.line_budget import LineBudget
+from swiftpin.helpers.line_rate_limiter import LineRateLimiter
 from swiftpin.helpers.logging_destination import KeyValueDestination
 from swiftpin.helpers.logging_format import (
     ABSENT,
-    cached_text,
     format_text,
+    format_text_cached,
     format_time,
 )
 from swiftpin.result import ResultCode
@@ -48,8 +48,8 @@
         self._maps = maps
         self._directory = directory
         self._metrics = metrics
-        self._served_lines = LineBudget(MOST_SERVED_LINES)
-        self._failed_lines = LineBudget(MOST_FAILED_LINES)
+        self._served_lines = LineRateLimiter(MOST_SERVED_LINES)
+        self._failed_lines = LineRateLimiter(MOST_FAILED_LINES)
 
     @callback
     def write_served(self, call: Call | None, started_at: float) -> None:
@@ -119,9 +119,9 @@
         if not self._destination.is_enabled(level):
             return
         budget = self._served_lines if level == "info" else self._failed_lines
-        if not budget.take(time.monotonic()):
+        if not budget.allow(time.monotonic()):
             return
-        if left_out := budget.take_left_out():
+        if left_out := budget.take_suppressed_count():
             outcome = f"{outcome} left_out_before={left_out}"
         pairs = "" if call is None else self._pairs(call)
         self._destination.write_line(
@@ -138,10 +138,10 @@
         key = ABSENT if call.head.key is None else call.head.key
         return (
             f" request_id={format_text(call.head.id)}"
-            f" route={cached_text(call.route.name)}"
-            f" kind={call.route.kind.value} service={cached_text(call.service)}"
+            f" route={format_text_cached(call.route.name)}"
+            f" kind={call.route.kind.value} service={format_text_cached(call.service)}"
             f" configuration={call.configuration} key={key} {basis.pairs()}"
-            f" target={cached_text(call.target) if call.target else ABSENT}"
+            f" target={format_text_cached(call.target) if call.target else ABSENT}"
             f" sends={call.sends} waited_ms={call.waited * MILLISECONDS:.1f}"
             f" may_have_run={'true' if call.may_have_run else 'false'} notes={notes}"
         )
--- a/swiftpin/router/retry_policy.py
+++ b/swiftpin/router/retry_policy.py
@@ -81,7 +81,7 @@
             raise self.failure(call)
         if not call.sends:
             return
-        if call.sends >= call.route.attempts or not call.body.can_be_sent:
+        if call.sends >= call.route.max_attempts or not call.body.can_be_sent:
             raise self.failure(call)
         if not self._reserve(call, now):
             call.note(StepFailure.BUDGET_SPENT, "no retry: budget spent")
@@ -103,7 +103,7 @@
         call.may_have_run = True
         return (
             call.route.kind is RequestKind.IDEMPOTENT
-            and call.sends < call.route.attempts
+            and call.sends < call.route.max_attempts
             and call.body.can_be_sent
             and left > call.route.objective * RETRY_SHARE
             and self._reserve(call, now)
--- a/swiftpin/router/split_chooser.py
+++ b/swiftpin/router/split_chooser.py
@@ -19,13 +19,15 @@
     @callback
     def choose(self, route: Route) -> str:
         """Return the service for the next request of a route."""
-        if len(route.parts) == 1:
-            return route.parts[0].service
+        if len(route.weighted_services) == 1:
+            return route.weighted_services[0].service
         credits = self._credits_by_route.setdefault((route.host, route.prefix), {})
-        total = sum(part.weight for part in route.parts)
-        for part in route.parts:
+        total = sum(part.weight for part in route.weighted_services)
+        for part in route.weighted_services:
             credits[part.service] = credits.get(part.service, 0.0) + part.weight / total
-        chosen = max(route.parts, key=lambda part: credits[part.service]).service
+        chosen = max(
+            route.weighted_services, key=lambda part: credits[part.service]
+        ).service
         credits[chosen] -= 1.0
         return chosen
 
--- a/swiftpin/router/watch_duty.py
+++ b/swiftpin/router/watch_duty.py
@@ -144,7 +144,7 @@
         heartbeat = link.heartbeat
         return (
             heartbeat is not None
-            and link.is_fresh(now)
+            and link.is_responsive(now)
             and not heartbeat.store_lost
             and self._told_version(heartbeat) >= self._aged_version
         )
--- a/tests/discovery/test_evacuations.py
+++ b/tests/discovery/test_evacuations.py
@@ -6,7 +6,7 @@
 
 from swiftpin.discovery.const import GOSSIP_LAG, RETURN_TIME
 from swiftpin.discovery.evacuations import EVACUATION_LAG, Evacuations
-from swiftpin.model.store_revision import ERA_SIZE
+from swiftpin.model.store_revision import REVISIONS_PER_ERA
 from swiftpin.platform.platform_object import PlatformObject
 
 BOUND = 5.0
@@ -79,9 +79,11 @@
 ) -> None:
     """Guards against use of a zone whose evacuation is about to be written again."""
     evacuations.adopt_changes((entry("a", 11), entry("b", 12)), 12, 1.0)
-    evacuations.adopt_list((), ERA_SIZE + 9, 2.0)
+    evacuations.adopt_list((), REVISIONS_PER_ERA + 9, 2.0)
     assert evacuations.is_evacuated("a")
-    evacuations.adopt_changes((entry("a", ERA_SIZE + 10),), ERA_SIZE + 10, 3.0)
+    evacuations.adopt_changes(
+        (entry("a", REVISIONS_PER_ERA + 10),), REVISIONS_PER_ERA + 10, 3.0
+    )
     evacuations.sweep(2.0 + RETURN_TIME)
     assert evacuations.is_evacuated("a")
     assert not evacuations.is_evacuated("b")
@@ -101,7 +103,7 @@
 ) -> None:
     """Guards against use of a zone that an instance which has just started lacks."""
     evacuations.adopt_changes((entry("a", 11),), 11, 1.0)
-    evacuations.adopt_update({}, ERA_SIZE + 9, 2.0)
+    evacuations.adopt_update({}, REVISIONS_PER_ERA + 9, 2.0)
     assert evacuations.is_evacuated("a")
     evacuations.sweep(2.0 + RETURN_TIME)
     assert not evacuations.is_evacuated("a")
--- a/tests/fleet/test_document_lane.py
+++ b/tests/fleet/test_document_channel.py
@@ -7,13 +7,13 @@
 from google.protobuf.message import DecodeError
 import pytest
 
-from swiftpin.fleet.document_lane import (
+from swiftpin.fleet.document_channel import (
     FRAGMENT_SIZE,
-    LEAST_FRAGMENTS,
-    LINK_TIME,
-    MOST_UNCONFIRMED,
+    MAX_IN_FLIGHT_SECONDS,
+    MAX_UNCONFIRMED_FRAGMENTS,
+    MIN_FRAGMENT_BUDGET,
     DocumentBudget,
-    DocumentLane,
+    DocumentChannel,
 )
 from swiftpin.fleet.item import Item
 from swiftpin.fleet.link_traffic import LinkTraffic
@@ -31,7 +31,7 @@
     def __init__(self, budget: DocumentBudget | None = None) -> None:
         self.sent: list[Item] = []
         self.traffic = LinkTraffic()
-        self.lane = DocumentLane(
+        self.lane = DocumentChannel(
             budget or DocumentBudget(0.0), self.sent.append, self.traffic
         )
 
@@ -46,10 +46,10 @@
     documents = []
     while fragments := sender.take_sent():
         for item in fragments:
-            document = receiver.lane.take(item.fragment)
+            document = receiver.lane.receive_fragment(item.fragment)
             documents += [document] if document is not None else []
         for _ in receiver.take_sent():
-            sender.lane.confirm()
+            sender.lane.confirm_fragment()
     return documents
 
 
@@ -68,30 +68,32 @@
     """Guards against a heartbeat that waits behind a whole document."""
     sender = End()
     sender.lane.add(lambda: make_item(50 * FRAGMENT_SIZE))
-    assert len(sender.sent) == MOST_UNCONFIRMED
-    sender.lane.confirm()
-    assert len(sender.sent) == MOST_UNCONFIRMED + 1
+    assert len(sender.sent) == MAX_UNCONFIRMED_FRAGMENTS
+    sender.lane.confirm_fragment()
+    assert len(sender.sent) == MAX_UNCONFIRMED_FRAGMENTS + 1
 
 
 def test_thin_link_of_a_sender_bounds_what_all_receivers_get_at_once() -> None:
     """Guards against heartbeats of a sender that wait behind all its documents."""
-    budget = DocumentBudget(2 * LEAST_FRAGMENTS * FRAGMENT_SIZE / LINK_TIME)
-    ends = [End(budget) for _ in range(4 * LEAST_FRAGMENTS)]
+    budget = DocumentBudget(
+        2 * MIN_FRAGMENT_BUDGET * FRAGMENT_SIZE / MAX_IN_FLIGHT_SECONDS
+    )
+    ends = [End(budget) for _ in range(4 * MIN_FRAGMENT_BUDGET)]
     for end in ends:
         end.lane.add(lambda: make_item(5 * FRAGMENT_SIZE))
-    assert sum(len(end.sent) for end in ends) == 2 * LEAST_FRAGMENTS
+    assert sum(len(end.sent) for end in ends) == 2 * MIN_FRAGMENT_BUDGET
 
 
 def test_lost_link_makes_room_for_others() -> None:
     """Guards against receivers that get nothing since others vanished."""
     budget = DocumentBudget(0.0)
-    ends = [End(budget) for _ in range(LEAST_FRAGMENTS)]
+    ends = [End(budget) for _ in range(MIN_FRAGMENT_BUDGET)]
     for end in ends:
         end.lane.add(lambda: make_item(5 * FRAGMENT_SIZE))
-    waiting = ends[LEAST_FRAGMENTS // MOST_UNCONFIRMED]
+    waiting = ends[MIN_FRAGMENT_BUDGET // MAX_UNCONFIRMED_FRAGMENTS]
     assert not waiting.sent
     ends[0].lane.close()
-    assert len(waiting.sent) == MOST_UNCONFIRMED
+    assert len(waiting.sent) == MAX_UNCONFIRMED_FRAGMENTS
 
 
 def test_document_is_made_when_its_turn_comes() -> None:
@@ -108,4 +110,4 @@
 def test_unreadable_document_is_told() -> None:
     """Guards against bytes that are taken for a document."""
     with pytest.raises(DecodeError):
-        End().lane.take(pb.Fragment(data=b"\xff\xff", is_last=True))
+        End().lane.receive_fragment(pb.Fragment(data=b"\xff\xff", is_last=True))
--- a/tests/fleet/test_frame_stream.py
+++ b/tests/fleet/test_frame_stream.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from swiftpin.fleet.frame_stream import LONGEST_FRAME, FrameError, FrameStream
+from swiftpin.fleet.frame_stream import MAX_FRAME_SIZE, FrameError, FrameStream
 from swiftpin.fleet.proto import fleet_pb2 as pb
 
 HELLO = pb.Frame(items=[pb.Item(hello=pb.Hello(incarnation="a/1"))])
@@ -56,7 +56,7 @@
     [
         b"\0\0",
         len(ENCODED).to_bytes(4, "big") + ENCODED[:-1],
-        (LONGEST_FRAME + 1).to_bytes(4, "big"),
+        (MAX_FRAME_SIZE + 1).to_bytes(4, "big"),
         b"\0\0\0\2\xff\xff",
     ],
     ids=["cut length", "cut frame", "too long", "no frame"],
--- a/tests/fleet/test_link.py
+++ b/tests/fleet/test_link.py
@@ -10,7 +10,7 @@
 from swiftpin.fleet.item import Item
 from swiftpin.fleet.link import (
     HEARTBEAT_INTERVAL,
-    LONGEST_HEARTBEAT_INTERVAL,
+    MAX_HEARTBEAT_INTERVAL,
     PeerLink,
 )
 from swiftpin.fleet.proto import fleet_pb2 as pb
@@ -82,7 +82,7 @@
     three times a second also where other frames showed life anyway.
     """
     heartbeats = await _async_watch(Handler(), busy=True)
-    assert 2 <= len(heartbeats) <= 1 + SECONDS / LONGEST_HEARTBEAT_INTERVAL
+    assert 2 <= len(heartbeats) <= 1 + SECONDS / MAX_HEARTBEAT_INTERVAL
 
 
 @pytest.mark.parametrize("state", [{"leads": True}, {"store_lost": True}])
@@ -111,7 +111,7 @@
     """
     for is_outgoing, pause in (
         (False, HEARTBEAT_INTERVAL),
-        (True, LONGEST_HEARTBEAT_INTERVAL),
+        (True, MAX_HEARTBEAT_INTERVAL),
     ):
         link = PeerLink(Handler(), 10.0, is_outgoing=is_outgoing)
         link._sent_at = 11.0
--- a/tests/fleet/test_links.py
+++ b/tests/fleet/test_links.py
@@ -39,7 +39,7 @@
 def make_links(name: str, handler: Handler) -> FleetLinks:
     """Return the links of an instance."""
     return FleetLinks(
-        incarnation=f"{name}/1", own_peer=name, strength=1.0, handler=handler
+        incarnation=f"{name}/1", own_peer=name, cpu_capacity=1.0, handler=handler
     )
 
 
@@ -78,12 +78,12 @@
     """
     links, handler, address = listener
     opener = make_links("opener", Handler())
-    opener.want({str(address)})
+    opener.set_peers({str(address)})
     async with asyncio.timeout(WAIT):
         await handler.greeted.wait()
         lost = asyncio.Event()
         links.on_lost = lambda link: lost.set()
-        opener.want(set())
+        opener.set_peers(set())
         await lost.wait()
     (line,) = [m for m in messages if m["message_type"] == "peer_lost"]
     assert line["peer"] == "opener/1"
@@ -106,11 +106,11 @@
     opener = make_links("opener", handler)
     lost: asyncio.Queue[PeerLink] = asyncio.Queue()
     opener.on_lost = lost.put_nowait
-    opener.want({str(address)})
+    opener.set_peers({str(address)})
     async with asyncio.timeout(WAIT):
         await handler.greeted.wait()
         (link,) = opener.outgoing_by_peer.values()
-        opener.want(set())
+        opener.set_peers(set())
         assert await lost.get() is link
     assert not opener.outgoing_by_peer
     await opener.async_unload()
--- a/tests/helpers/test_logging.py
+++ b/tests/helpers/test_logging.py
@@ -16,7 +16,7 @@
 
 from swiftpin.helpers.log_volume import LogVolume
 from swiftpin.helpers.logging_format import (
-    LONGEST_TEXT,
+    MAX_TEXT_LENGTH,
     format_pairs,
     format_time,
     format_value,
@@ -200,8 +200,8 @@
 
 def test_long_text_is_cut() -> None:
     """A caller's path or a traceback does not fill the room of all lines."""
-    written = format_value("a" * (LONGEST_TEXT + 7))
-    assert json.loads(written) == f"{'a' * LONGEST_TEXT}...(7 more)"
+    written = format_value("a" * (MAX_TEXT_LENGTH + 7))
+    assert json.loads(written) == f"{'a' * MAX_TEXT_LENGTH}...(7 more)"
 
 
 @pytest.mark.parametrize(
--- a/tests/keyranges/test_late_renewals.py
+++ b/tests/keyranges/test_late_renewals.py
@@ -155,7 +155,7 @@
     )
     services = {"desk": SimpleNamespace(health_path="/health")}
     configuration = cast(Configuration, SimpleNamespace(services_by_name=services))
-    bounds = SimpleNamespace(longest_hold=10.0)
+    bounds = SimpleNamespace(max_hold=10.0)
     factory = AssignerFactory(
         settings=cast(InstanceSettings, SimpleNamespace(bounds=bounds)),
         client=cast(StoreClient, store),
--- a/tests/keyranges/test_lease_election.py
+++ b/tests/keyranges/test_lease_election.py
@@ -83,7 +83,7 @@
     def _check(self) -> None:
         if self.is_away:
             raise StoreUnavailableError("away")
-        self.era.note(era_of(self.revision))
+        self.era.observe(era_of(self.revision))
 
     def _write(self, content: object) -> int:
         self.content = content
--- a/tests/keyranges/test_restored_assignment.py
+++ b/tests/keyranges/test_restored_assignment.py
@@ -30,12 +30,12 @@
         self.content: object = None
         self.revision = 1
         self.era = StoreEra()
-        self.era.note(0)
+        self.era.observe(0)
 
     def restore(self, content: object) -> None:
         """Come back with an older record, or with none."""
         self.content = content
-        self.era.note(self.era.newest + 1)
+        self.era.observe(self.era.newest + 1)
         self.revision = make_revision(self.era.newest, 1)
 
     async def async_get(self, kind: str, name: str) -> PlatformObject:
--- a/tests/keyranges/test_restored_lease.py
+++ b/tests/keyranges/test_restored_lease.py
@@ -66,7 +66,7 @@
     def _ask(self) -> None:
         if self.is_cut_off:
             raise StoreUnavailableError("cut off")
-        self.era.note(era_of(self.store.revision))
+        self.era.observe(era_of(self.store.revision))
 
     async def async_get(self, kind: str, name: str, **rest: object) -> PlatformObject:
         """Return the record."""
--- a/tests/model/test_store_revision.py
+++ b/tests/model/test_store_revision.py
@@ -5,8 +5,8 @@
 import pytest
 
 from swiftpin.model.store_revision import (
-    ERA_SIZE,
-    LAST_ERA,
+    MAX_ERA,
+    REVISIONS_PER_ERA,
     era_of,
     make_revision,
     number_of,
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize(
-    ("era", "number"), [(0, 0), (0, 7), (3, 0), (LAST_ERA, ERA_SIZE - 1)]
+    ("era", "number"), [(0, 0), (0, 7), (3, 0), (MAX_ERA, REVISIONS_PER_ERA - 1)]
 )
 def test_era_and_number_can_be_read_back(era: int, number: int) -> None:
     """The store is asked by its own number."""
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize(
-    ("era", "number"), [(-1, 1), (LAST_ERA + 1, 1), (0, -1), (0, ERA_SIZE)]
+    ("era", "number"), [(-1, 1), (MAX_ERA + 1, 1), (0, -1), (0, REVISIONS_PER_ERA)]
 )
 def test_number_out_of_range_is_refused(era: int, number: int) -> None:
     """It would run into the next era."""
--- a/tests/platform/test_arbitrary_input.py
+++ b/tests/platform/test_arbitrary_input.py
@@ -13,7 +13,7 @@
 import pytest
 
 from swiftpin.exceptions import ConfigurationError, StoreUnavailableError
-from swiftpin.helpers.slices import run_whole
+from swiftpin.helpers.time_slices import run_to_completion
 from swiftpin.keyranges.assignment import (
     Assignment,
     decode_assignment,
@@ -22,7 +22,7 @@
 )
 from swiftpin.keyranges.const import KEYS
 from swiftpin.keyranges.lease_record import LeaseRecord, decode_lease, encode_lease
-from swiftpin.platform.configuration import decode_in_steps
+from swiftpin.platform.configuration import decode_configuration
 from swiftpin.platform.json_fields import FieldError, load_json
 from swiftpin.platform.platform_object import PlatformObject
 from swiftpin.platform.request_head import decode_answer_head, decode_request_head
@@ -163,7 +163,7 @@
 def test_configuration(document: object) -> None:
     """The operators' configuration; the one in force stays if it can't be read."""
     with suppress(ConfigurationError):
-        run_whole(decode_in_steps(document))
+        run_to_completion(decode_configuration(document))
     ConfigurationHolder().adopt_changes((as_object(document),), 3, 0.0)
 
 
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -8,9 +8,9 @@
 import pytest
 
 from swiftpin.exceptions import ConfigurationError, StoreUnavailableError
-from swiftpin.helpers.slices import run_whole
+from swiftpin.helpers.time_slices import run_to_completion
 from swiftpin.model.request_kind import RequestKind
-from swiftpin.platform.configuration import decode_in_steps
+from swiftpin.platform.configuration import decode_configuration
 from swiftpin.platform.platform_object import PlatformObject
 from swiftpin.platform.request_head import (
     decode_answer_head,
@@ -81,7 +81,7 @@
 def test_longest_prefix_of_the_host_wins() -> None:
     """A route under another one's prefix is found first."""
     document = configuration(3, [*ROUTES, route("/read/deep/", "unsafe")])
-    found = run_whole(decode_in_steps(document))
+    found = run_to_completion(decode_configuration(document))
     assert found.version == 3
     deep = found.find_route("desk.example", "/read/deep/x")
     assert deep is not None
@@ -93,14 +93,16 @@
 
 def test_unknown_kind_is_never_repeated() -> None:
     """A kind that a later version brings counts as not repeatable."""
-    found = run_whole(decode_in_steps(configuration(3, [route("/a/", "odd")])))
+    found = run_to_completion(
+        decode_configuration(configuration(3, [route("/a/", "odd")]))
+    )
     assert found.routes_by_host["desk.example"][0].kind is RequestKind.ONCE
 
 
 def test_malformed_configuration_is_an_error() -> None:
     """The one in force stays when a newer one cannot be read."""
     with pytest.raises(ConfigurationError):
-        run_whole(decode_in_steps({"version": "r9"}))
+        run_to_completion(decode_configuration({"version": "r9"}))
 
 
 def settings_document(**more_bounds: float) -> dict[str, Any]:
@@ -141,18 +143,18 @@
 def test_settings_name_addresses_and_bounds() -> None:
     """Milliseconds of the file become seconds; peers take the first inner port."""
     settings = decode_settings(settings_document())
-    assert str(settings.peers) == "10.0.0.2:7720"
+    assert str(settings.peer_address) == "10.0.0.2:7720"
     assert settings.seeds == ("10.0.0.9:7720",)
-    assert settings.bounds.drain == 2.0
-    assert settings.strength == 1.5
-    assert settings.bounds.evacuation is None
+    assert settings.bounds.drain_limit == 2.0
+    assert settings.cpu_capacity == 1.5
+    assert settings.bounds.evacuation_limit is None
 
 
 def test_settings_bound_evacuations_and_cold_targets() -> None:
     """Deployments without such rules leave the figures out."""
     document = settings_document(evacuation_ms=5000, cold_overshoot=1.5, cold_slack=8)
     bounds = decode_settings(document).bounds
-    assert bounds.evacuation == 5.0
+    assert bounds.evacuation_limit == 5.0
     assert bounds.cold_limit(4.0) == 14.0
 
 
@@ -161,7 +163,7 @@
     document = configuration(7, ROUTES)
     document["services"][0].update(cold_start_s=3.0, cold_per_s=4.7)
     document["services"][1].pop("cold_per_s")
-    declared = run_whole(decode_in_steps(document)).services_by_name
+    declared = run_to_completion(decode_configuration(document)).services_by_name
     assert declared["desk"].cold_start == 3.0
     assert declared["desk"].cold_rate == 4.7
     assert math.isinf(declared["vault"].cold_rate)
@@ -176,7 +178,7 @@
     """Guards against a load that is lost with the figure of a shared machine."""
     load = decode_answer_head(200, {"Swiftpin-Upstream-Load": text}).load
     assert load is not None
-    assert load.work_factor == pytest.approx(work_factor)
+    assert load.slowdown_factor == pytest.approx(work_factor)
 
 
 @pytest.mark.parametrize("text", ["", "3,0", "3,0,8,0", "-1,0,8", "3,0,8,9,1", "a,b,c"])
--- a/tests/router/calls.py
+++ b/tests/router/calls.py
@@ -39,8 +39,8 @@
         timeout=1.0,
         objective=0.5,
         priority=1,
-        attempts=attempts,
-        parts=(WeightedService(service=SERVICE, weight=1.0),),
+        max_attempts=attempts,
+        weighted_services=(WeightedService(service=SERVICE, weight=1.0),),
     )
     return Call(
         request=cast("Any", None),
--- a/tests/router/fleet_fakes.py
+++ b/tests/router/fleet_fakes.py
@@ -4,7 +4,7 @@
 
 from typing import cast
 
-from swiftpin.fleet.document_lane import MakeDocument
+from swiftpin.fleet.document_channel import DocumentFactory
 from swiftpin.fleet.item import Item
 from swiftpin.fleet.link import LinkHandler, PeerLink
 from swiftpin.fleet.links import FleetLinks
@@ -27,7 +27,7 @@
         """Keep an item."""
         self.sent.append(item)
 
-    def send_document(self, make: MakeDocument) -> None:
+    def send_document(self, make: DocumentFactory) -> None:
         """Keep a document."""
         item = make()
         if item is not None:
--- a/tests/router/retry_fleet.py
+++ b/tests/router/retry_fleet.py
@@ -36,14 +36,14 @@
 """Seconds until the holder hears an instance."""
 
 BOUNDS: Final = Bounds(
-    drain=2.0,
-    apply=2.0,
-    grace=3.0,
-    longest_hold=10.0,
+    drain_limit=2.0,
+    apply_limit=2.0,
+    shutdown_grace=3.0,
+    max_hold=10.0,
     retry_ratio=RATIO,
     retry_window=WINDOW,
     retry_slack=SLACK,
-    stability=3.0,
+    stability_period=3.0,
 )
 
 
--- a/tests/router/site.py
+++ b/tests/router/site.py
@@ -26,15 +26,15 @@
 
 HOST = "desk.example"
 BOUNDS = Bounds(
-    drain=2.0,
-    apply=2.0,
-    grace=3.0,
-    longest_hold=10.0,
+    drain_limit=2.0,
+    apply_limit=2.0,
+    shutdown_grace=3.0,
+    max_hold=10.0,
     retry_ratio=0.2,
     retry_window=10.0,
     retry_slack=56.0,
-    stability=3.0,
-    evacuation=5.0,
+    stability_period=3.0,
+    evacuation_limit=5.0,
     cold_overshoot=1.5,
     cold_slack=8.0,
 )
@@ -180,16 +180,16 @@
         settings = InstanceSettings(
             name=name,
             zone="z1",
-            callers=Address(host=host, port=free_port(host)),
-            readiness=Address(host=host, port=free_port(host)),
-            peers=Address(host=host, port=free_port(host)),
+            caller_address=Address(host=host, port=free_port(host)),
+            readiness_address=Address(host=host, port=free_port(host)),
+            peer_address=Address(host=host, port=free_port(host)),
             seeds=(),
-            store=Address(
+            store_address=Address(
                 host="127.0.0.1", port=int(self.store.address.rpartition(":")[2])
             ),
             bounds=BOUNDS,
             target_heartbeat=0.9,
-            strength=1.0,
+            cpu_capacity=1.0,
             bandwidth=0.0,
             first_start=True,
         )
@@ -249,7 +249,7 @@
         }
         if key is not None:
             headers["Swiftpin-Shard-Key"] = str(key)
-        address = self.settings_by_name[via].callers
+        address = self.settings_by_name[via].caller_address
         async with self._session.request(
             method, f"http://{address}{path}", headers=headers, data=body or None
         ) as response:
--- a/tests/router/slow_links.py
+++ b/tests/router/slow_links.py
@@ -10,7 +10,7 @@
 
 from swiftpin.discovery.evacuations import Evacuations
 from swiftpin.discovery.store_health import StoreHealth
-from swiftpin.fleet.document_lane import DocumentBudget
+from swiftpin.fleet.document_channel import DocumentBudget
 from swiftpin.fleet.item import Item
 from swiftpin.fleet.link import PeerLink
 from swiftpin.fleet.proto import fleet_pb2 as pb
--- a/tests/router/test_answer_way.py
+++ b/tests/router/test_answer_way.py
@@ -30,8 +30,8 @@
     timeout=4.0,
     objective=1.0,
     priority=2,
-    attempts=2,
-    parts=(WeightedService(service="vault", weight=1.0),),
+    max_attempts=2,
+    weighted_services=(WeightedService(service="vault", weight=1.0),),
 )
 
 
--- a/tests/router/test_callers_that_left.py
+++ b/tests/router/test_callers_that_left.py
@@ -12,7 +12,7 @@
 
 def call_and_leave(site: Site, path: str, request_id: str, key: int) -> None:
     """Send a request and close the connection while the instance reads nothing."""
-    address = site.settings_by_name["i0"].callers
+    address = site.settings_by_name["i0"].caller_address
     head = (
         f"GET {path} HTTP/1.1\r\nHost: {HOST}\r\nSwiftpin-Request-Id: {request_id}\r\n"
         f"Swiftpin-Deadline-Milliseconds: 2000\r\nSwiftpin-Shard-Key: {key}\r\n\r\n"
@@ -38,7 +38,7 @@
 
 async def test_caller_that_keeps_its_connection_is_served(site: Site) -> None:
     """A caller that sends its next request at once has not left."""
-    address = site.settings_by_name["i0"].callers
+    address = site.settings_by_name["i0"].caller_address
     reader, writer = await asyncio.open_connection(address.host, address.port)
     for number in (1, 2):
         writer.write(
--- a/tests/router/test_configuration_holder.py
+++ b/tests/router/test_configuration_holder.py
@@ -8,7 +8,7 @@
 import orjson
 import pytest
 
-from swiftpin.helpers import slices
+from swiftpin.helpers import time_slices
 from swiftpin.platform.platform_object import PlatformObject
 from swiftpin.router.configuration_holder import ConfigurationHolder
 from tests.router.site import ROUTES, configuration
@@ -31,7 +31,7 @@
 ) -> None:
     """Guards against heartbeats that wait while 2,000 routes are decoded."""
     now = iter(range(1_000_000))
-    monkeypatch.setattr(slices, "monotonic_now", lambda: next(now) / 100_000)
+    monkeypatch.setattr(time_slices, "monotonic_now", lambda: next(now) / 100_000)
     holder = ConfigurationHolder()
     adopt(holder, large_configuration(3, 2_000))
     turns = 0
@@ -66,7 +66,7 @@
 ) -> None:
     """Guards against an instance that asks nobody any more."""
     # A busy machine must not end the only slice that the decoding gets here.
-    monkeypatch.setattr(slices, "monotonic_now", lambda: 0.0)
+    monkeypatch.setattr(time_slices, "monotonic_now", lambda: 0.0)
     done: list[bool] = []
     holder = ConfigurationHolder()
     holder.adopt_packed(packed, 0.0, lambda: done.append(True))
--- a/tests/router/test_configuration_lag.py
+++ b/tests/router/test_configuration_lag.py
@@ -10,14 +10,14 @@
 from swiftpin.router.configuration_lag import TOLD_LAG, ConfigurationLag
 from tests.router.site import BOUNDS, ROUTES, Site, configuration, route
 
-LIMIT = BOUNDS.apply - TOLD_LAG
+LIMIT = BOUNDS.apply_limit - TOLD_LAG
 
 
 @pytest.fixture(name="lag")
 def lag_fixture() -> ConfigurationLag:
     """Return the lag of an instance with version 5 in force, at second 10."""
     lag = ConfigurationLag()
-    lag.set_apply_bound(BOUNDS.apply)
+    lag.set_apply_bound(BOUNDS.apply_limit)
     lag.note_adopted(5)
     return lag
 
@@ -52,10 +52,10 @@
 ) -> None:
     """Guards against a fleet that refuses all requests for as long as an outage."""
     lag.note_told(6, in_force=5, now=10.0)
-    assert lag.is_refusing(10.0 + BOUNDS.apply)
+    assert lag.is_refusing(10.0 + BOUNDS.apply_limit)
     lag.has_source = False
-    assert not lag.is_refusing(10.0 + BOUNDS.apply)
-    assert lag.is_outdated(10.0 + BOUNDS.apply)
+    assert not lag.is_refusing(10.0 + BOUNDS.apply_limit)
+    assert lag.is_outdated(10.0 + BOUNDS.apply_limit)
 
 
 async def test_unknown_route_is_not_denied_while_nobody_has_the_newer_one(
@@ -64,7 +64,7 @@
     """Guards against a final 404 where only a lost instance knew a new route."""
     monkeypatch.setattr(ConfigurationLag, "is_refusing", lambda self, now: False)
     lag = site.routers_by_name["i1"]._configuration.lag
-    lag.note_told(2, in_force=1, now=suspend_aware_now() - BOUNDS.apply)
+    lag.note_told(2, in_force=1, now=suspend_aware_now() - BOUNDS.apply_limit)
     assert (await site.async_call("/added/x", via="i1")).status == 503
     assert (await site.async_call("/read/x", via="i1")).status == 200
 
--- a/tests/router/test_document_ask.py
+++ b/tests/router/test_document_ask.py
@@ -45,7 +45,7 @@
     now = 1.0
     for _ in range(20):
         now += STEP
-        asker.asked[0].fragment_at = now
+        asker.asked[0].last_fragment_at = now
         asker.ask.look(now + STEP)
     assert len(asker.asked) == 1
 
--- a/tests/router/test_evacuated_zones.py
+++ b/tests/router/test_evacuated_zones.py
@@ -58,9 +58,9 @@
     stop = asyncio.Event()
     asking = asyncio.create_task(async_ask_on(site, stop))
     site.store.put("evacuations", ZONE, {})
-    assert BOUNDS.evacuation is not None
+    assert BOUNDS.evacuation_limit is not None
     try:
-        async with asyncio.timeout(BOUNDS.evacuation):
+        async with asyncio.timeout(BOUNDS.evacuation_limit):
             while any(owner_of(site, key) in ("e0", "e1") for key in SAMPLE):  # noqa: ASYNC110  # no event tells
                 await asyncio.sleep(0.01)
     finally:
--- a/tests/router/test_gossip.py
+++ b/tests/router/test_gossip.py
@@ -90,7 +90,7 @@
     among the links was asked.
     """
     frozen, heard = make_link("frozen", 12), make_link("heard", 12)
-    frozen.heard_at -= 1.0
+    frozen.last_received_at -= 1.0
     links.live_links = lambda: [frozen, heard]
     ask_again(gossip)
     ask_again(gossip)
--- a/tests/router/test_issuer_list.py
+++ b/tests/router/test_issuer_list.py
@@ -128,7 +128,7 @@
     names = [f"strong-{number}" for number in range(CONFIGURATION_WATCHERS + 1)]
     links = [FakeLink(name) for name in names]
     for link in links:
-        link.strength = 4.0
+        link.cpu_capacity = 4.0
     chooser = Chooser(*links, targets=100)
     chooser.list.choose(NOW)
     lost = links[0]
--- a/tests/router/test_owner_finder.py
+++ b/tests/router/test_owner_finder.py
@@ -62,8 +62,8 @@
         timeout=1.0,
         objective=0.5,
         priority=1,
-        attempts=2,
-        parts=(WeightedService(service="desk", weight=1.0),),
+        max_attempts=2,
+        weighted_services=(WeightedService(service="desk", weight=1.0),),
     )
     return Call(
         request=cast("Any", None),
--- a/tests/router/test_request_log.py
+++ b/tests/router/test_request_log.py
@@ -173,7 +173,7 @@
     site: Site, logging: LoggingSetup
 ) -> None:
     """Symptom: callers got 400 and neither log nor metrics knew of it."""
-    callers = site.settings_by_name[INSTANCE].callers
+    callers = site.settings_by_name[INSTANCE].caller_address
     reader, writer = await asyncio.open_connection(callers.host, callers.port)
     writer.write(b"no request at all\r\n\r\n")
     assert b"400" in await reader.readline()
--- a/tests/router/test_retry_policy.py
+++ b/tests/router/test_retry_policy.py
@@ -23,14 +23,14 @@
 
 WINDOW = 10.0
 BOUNDS = Bounds(
-    drain=2.0,
-    apply=2.0,
-    grace=3.0,
-    longest_hold=10.0,
+    drain_limit=2.0,
+    apply_limit=2.0,
+    shutdown_grace=3.0,
+    max_hold=10.0,
     retry_ratio=0.0,
     retry_window=WINDOW,
     retry_slack=10.0,
-    stability=3.0,
+    stability_period=3.0,
 )
 SPENDABLE = 8
 """Retries in a window of the only instance: its part of the slack, less what it may
--- a/tests/router/test_silent_watches.py
+++ b/tests/router/test_silent_watches.py
@@ -5,11 +5,11 @@
 from typing import Final
 
 from swiftpin.discovery.store_follower import UNCONFIRMED_GRACE, UNCONFIRMED_WAIT
-from swiftpin.fleet.link import LONGEST_HEARTBEAT_INTERVAL
+from swiftpin.fleet.link import MAX_HEARTBEAT_INTERVAL
 from swiftpin.helpers.clock import suspend_aware_now
 from tests.router.site import Site
 
-LEARNING_TIME: Final = UNCONFIRMED_WAIT + UNCONFIRMED_GRACE + LONGEST_HEARTBEAT_INTERVAL
+LEARNING_TIME: Final = UNCONFIRMED_WAIT + UNCONFIRMED_GRACE + MAX_HEARTBEAT_INTERVAL
 """Seconds within which the holder of the lease learns of a change and tells it."""
 
 SLACK: Final = 3.0
--- a/tests/router/test_watch_duty.py
+++ b/tests/router/test_watch_duty.py
@@ -169,7 +169,7 @@
     """Watchers that froze or were cut off kept changes from the whole fleet."""
     link_all(links, WATCHERS)
     for link in links.outgoing_by_peer.values():
-        link.heard_at -= 1.0
+        link.last_received_at -= 1.0
     assert not duty.is_skipped()
 
 
