--- a/swiftpin/helpers/logging_format.py
+++ b/swiftpin/helpers/logging_format.py
@@ -11,7 +11,7 @@
 
 ABSENT: Final = "-"
 MAX_TEXT_LENGTH: Final = 4096
-"""Maximum characters of a value; a path may have 16 KB, and a traceback is repetitive."""
+"""Maximum characters of a value; a path may have 16 KB, and tracebacks are long."""
 
 _PLAIN: Final = re.compile(r"[A-Za-z0-9_.,:;/@%+*()\[\]-]+")
 _MILLISECONDS: Final = 1000
