--- a/swiftpin/helpers/logging_format.py
+++ b/swiftpin/helpers/logging_format.py
@@ -11,7 +11,8 @@
 
 ABSENT: Final = "-"
 MAX_TEXT_LENGTH: Final = 4096
-"""Maximum characters of a value; a path may have 16 KB, and tracebacks are long."""
+"""Maximum characters of a value. A path may have 16 KB; a traceback is repetitive, so
+truncation loses little."""
 
 _PLAIN: Final = re.compile(r"[A-Za-z0-9_.,:;/@%+*()\[\]-]+")
 _MILLISECONDS: Final = 1000
--- a/tests/fleet/test_document_channel.py
+++ b/tests/fleet/test_document_channel.py
@@ -1,4 +1,4 @@
-"""Tests of documents on their way over an instance's links."""
+"""Tests of document transfer over an instance's links."""
 
 from __future__ import annotations
 
@@ -21,93 +21,93 @@
 
 
 def make_item(size: int, name: str = "d") -> Item:
-    """Return an item of about some bytes."""
+    """Return an item of about `size` bytes."""
     return pb.Item(issuers=pb.Issuers(peers=[name * size]))
 
 
-class End:
+class LinkEnd:
     """One side of a link."""
 
     def __init__(self, budget: DocumentBudget | None = None) -> None:
         self.sent: list[Item] = []
         self.traffic = LinkTraffic()
-        self.lane = DocumentChannel(
+        self.channel = DocumentChannel(
             budget or DocumentBudget(0.0), self.sent.append, self.traffic
         )
 
     def take_sent(self) -> list[Item]:
-        """Return what was sent since the last call."""
+        """Return and clear the sent items."""
         sent, self.sent[:] = list(self.sent), []
         return sent
 
 
-def pass_on(sender: End, receiver: End) -> list[Item]:
-    """Let a sender's fragments arrive and be confirmed; return whole documents."""
+def deliver_all(sender: LinkEnd, receiver: LinkEnd) -> list[Item]:
+    """Deliver and confirm all fragments; return the completed documents."""
     documents = []
     while fragments := sender.take_sent():
         for item in fragments:
-            document = receiver.lane.receive_fragment(item.fragment)
+            document = receiver.channel.receive_fragment(item.fragment)
             documents += [document] if document is not None else []
         for _ in receiver.take_sent():
-            sender.lane.confirm_fragment()
+            sender.channel.confirm_fragment()
     return documents
 
 
-def test_documents_arrive_whole_and_in_order() -> None:
-    """What is cut up for the way is the same at the other side."""
-    sender, receiver = End(), End()
+def test_documents_arrive_complete_and_in_order() -> None:
+    """Documents split into fragments are reassembled unchanged and in order."""
+    sender, receiver = LinkEnd(), LinkEnd()
     items = [make_item(5 * FRAGMENT_SIZE, "a"), make_item(1, "b"), make_item(9000)]
     for item in items:
-        sender.lane.add(partial(lambda item: item, item))
-    assert pass_on(sender, receiver) == items
-    assert sender.lane.is_idle
+        sender.channel.add(partial(lambda item: item, item))
+    assert deliver_all(sender, receiver) == items
+    assert sender.channel.is_idle
     assert sender.traffic.items_sent == {"issuers": 3}
 
 
-def test_few_fragments_are_under_way_on_a_link() -> None:
-    """Guards against a heartbeat that waits behind a whole document."""
-    sender = End()
-    sender.lane.add(lambda: make_item(50 * FRAGMENT_SIZE))
+def test_unconfirmed_fragments_per_link_are_limited() -> None:
+    """Guards against heartbeats delayed by a whole queued document."""
+    sender = LinkEnd()
+    sender.channel.add(lambda: make_item(50 * FRAGMENT_SIZE))
     assert len(sender.sent) == MAX_UNCONFIRMED_FRAGMENTS
-    sender.lane.confirm_fragment()
+    sender.channel.confirm_fragment()
     assert len(sender.sent) == MAX_UNCONFIRMED_FRAGMENTS + 1
 
 
-def test_thin_link_of_a_sender_bounds_what_all_receivers_get_at_once() -> None:
-    """Guards against heartbeats of a sender that wait behind all its documents."""
+def test_bandwidth_limits_unconfirmed_fragments_of_all_links() -> None:
+    """Guards against heartbeats delayed by documents to all receivers at once."""
     budget = DocumentBudget(
         2 * MIN_FRAGMENT_BUDGET * FRAGMENT_SIZE / MAX_IN_FLIGHT_SECONDS
     )
-    ends = [End(budget) for _ in range(4 * MIN_FRAGMENT_BUDGET)]
+    ends = [LinkEnd(budget) for _ in range(4 * MIN_FRAGMENT_BUDGET)]
     for end in ends:
-        end.lane.add(lambda: make_item(5 * FRAGMENT_SIZE))
+        end.channel.add(lambda: make_item(5 * FRAGMENT_SIZE))
     assert sum(len(end.sent) for end in ends) == 2 * MIN_FRAGMENT_BUDGET
 
 
-def test_lost_link_makes_room_for_others() -> None:
-    """Guards against receivers that get nothing since others vanished."""
+def test_lost_link_releases_its_budget() -> None:
+    """Guards against budget that stays used after a link was lost."""
     budget = DocumentBudget(0.0)
-    ends = [End(budget) for _ in range(MIN_FRAGMENT_BUDGET)]
+    ends = [LinkEnd(budget) for _ in range(MIN_FRAGMENT_BUDGET)]
     for end in ends:
-        end.lane.add(lambda: make_item(5 * FRAGMENT_SIZE))
+        end.channel.add(lambda: make_item(5 * FRAGMENT_SIZE))
     waiting = ends[MIN_FRAGMENT_BUDGET // MAX_UNCONFIRMED_FRAGMENTS]
     assert not waiting.sent
-    ends[0].lane.close()
+    ends[0].channel.close()
     assert len(waiting.sent) == MAX_UNCONFIRMED_FRAGMENTS
 
 
-def test_document_is_made_when_its_turn_comes() -> None:
-    """Guards against versions that are sent although newer ones are known."""
-    sender, receiver = End(), End()
+def test_document_is_created_when_its_transmission_starts() -> None:
+    """Guards against sending a version that was replaced while it was queued."""
+    sender, receiver = LinkEnd(), LinkEnd()
     versions = ["a"]
-    sender.lane.add(lambda: make_item(5 * FRAGMENT_SIZE))
-    sender.lane.add(lambda: make_item(1, versions[-1]))
-    sender.lane.add(lambda: None)
+    sender.channel.add(lambda: make_item(5 * FRAGMENT_SIZE))
+    sender.channel.add(lambda: make_item(1, versions[-1]))
+    sender.channel.add(lambda: None)
     versions.append("b")
-    assert pass_on(sender, receiver)[1:] == [make_item(1, "b")]
+    assert deliver_all(sender, receiver)[1:] == [make_item(1, "b")]
 
 
-def test_unreadable_document_is_told() -> None:
-    """Guards against bytes that are taken for a document."""
+def test_malformed_document_is_an_error() -> None:
+    """Guards against arbitrary bytes accepted as a document."""
     with pytest.raises(DecodeError):
-        End().lane.receive_fragment(pb.Fragment(data=b"\xff\xff", is_last=True))
+        LinkEnd().channel.receive_fragment(pb.Fragment(data=b"\xff\xff", is_last=True))
--- a/tests/fleet/test_frame_stream.py
+++ b/tests/fleet/test_frame_stream.py
@@ -1,4 +1,4 @@
-"""Tests of the frames on a connection between two instances."""
+"""Tests of length-prefixed frames on a connection."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture(name="ends")
 async def ends_fixture() -> AsyncIterator[tuple[FrameStream, asyncio.StreamWriter]]:
-    """Return the frames that arrive at one side, and what the other side writes to."""
+    """Yield the stream of the receiving side and the writer of the sending side."""
     arrived: asyncio.Queue[FrameStream] = asyncio.Queue()
 
     def take(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -35,7 +35,7 @@
 async def test_frames_arrive_as_sent(
     ends: tuple[FrameStream, asyncio.StreamWriter],
 ) -> None:
-    """Several at once and one in pieces come out whole, then the end."""
+    """Frames sent together or in pieces are received unchanged, then the end."""
     stream, writer = ends
     sender = FrameStream(asyncio.StreamReader(), writer)
     await sender.send_message(HELLO)
@@ -61,10 +61,10 @@
     ],
     ids=["cut length", "cut frame", "too long", "no frame"],
 )
-async def test_what_is_no_frame_ends_the_link(
+async def test_invalid_frame_is_an_error(
     ends: tuple[FrameStream, asyncio.StreamWriter], written: bytes
 ) -> None:
-    """Nothing is taken for a frame that the other side did not send as one."""
+    """Guards against truncated or invalid data accepted as a frame."""
     stream, writer = ends
     writer.write(written)
     writer.close()
--- a/tests/fleet/test_link.py
+++ b/tests/fleet/test_link.py
@@ -1,4 +1,4 @@
-"""Tests of one link between two instances."""
+"""Tests of a link between two instances."""
 
 from __future__ import annotations
 
@@ -16,36 +16,36 @@
 from swiftpin.fleet.proto import fleet_pb2 as pb
 
 SECONDS = 2.0
-"""How long each link is watched."""
+"""Seconds for which a test runs a link."""
 
 
 class CountingStream:
-    """Notes the frames that are sent; the other side is heard all the while."""
+    """Records sent heartbeats and regularly receives empty frames."""
 
     def __init__(self) -> None:
         self.heartbeats: list[tuple[float, Item]] = []
 
     async def send_message(self, message: Any) -> None:  # noqa: ANN401
-        """Note heartbeats."""
+        """Record the heartbeats in a frame."""
         now = asyncio.get_running_loop().time()
         self.heartbeats += [
             (now, i.heartbeat) for i in message.items if i.HasField("heartbeat")
         ]
 
     async def recv_message(self) -> Any:  # noqa: ANN401
-        """Return an empty frame now and then."""
+        """Return an empty frame after a heartbeat interval."""
         await asyncio.sleep(HEARTBEAT_INTERVAL)
         return pb.Frame()
 
 
 class Handler:
-    """Makes heartbeats with what a test sets."""
+    """Creates heartbeats with the fields in `state`."""
 
     def __init__(self) -> None:
         self.state: dict[str, Any] = {}
 
     def handle_item(self, link: PeerLink, item: Item) -> None:
-        """Take nothing."""
+        """Ignore an item."""
 
     def make_heartbeat(self, link: PeerLink) -> Item:
         """Return a heartbeat."""
@@ -53,7 +53,7 @@
 
 
 async def _async_watch(handler: Handler, *, busy: bool) -> list[tuple[float, Item]]:
-    """Return the heartbeats on a link, which has other frames if it is busy."""
+    """Run a link and return its heartbeats; a busy link also sends other frames."""
     loop = asyncio.get_running_loop()
     stream = CountingStream()
     link = PeerLink(handler, loop.time(), is_outgoing=True)
@@ -69,33 +69,35 @@
     return stream.heartbeats
 
 
-async def test_idle_link_shows_life_at_its_pace() -> None:
-    """A link without other frames is known to live."""
+async def test_idle_link_sends_regular_heartbeats() -> None:
+    """A link without other frames sends heartbeats at the regular interval."""
     heartbeats = await _async_watch(Handler(), busy=False)
     assert len(heartbeats) >= SECONDS / HEARTBEAT_INTERVAL / 2
 
 
-async def test_busy_link_shows_life_by_its_frames() -> None:
-    """Symptom: instances spent more time on heartbeats than on requests.
+async def test_busy_link_sends_fewer_heartbeats() -> None:
+    """Guards against instances that spend more CPU time on heartbeats than on requests.
 
-    Sequence: 72 instances, each linked to a dozen others. Cause: heartbeats went out
-    three times a second also where other frames showed life anyway.
+    With 72 instances, each linked to a dozen others, every link sent three heartbeats
+    per second, even if other frames showed that it was alive.
     """
     heartbeats = await _async_watch(Handler(), busy=True)
     assert 2 <= len(heartbeats) <= 1 + SECONDS / MAX_HEARTBEAT_INTERVAL
 
 
 @pytest.mark.parametrize("state", [{"leads": True}, {"store_lost": True}])
-async def test_assigner_and_votes_keep_the_pace(state: dict[str, Any]) -> None:
-    """Candidates wait for the assigner's signs, and it for votes in theirs."""
+async def test_assigner_and_votes_keep_the_regular_interval(
+    state: dict[str, Any],
+) -> None:
+    """Candidates wait for the assigner's heartbeats, and it for their votes."""
     handler = Handler()
     handler.state = state
     heartbeats = await _async_watch(handler, busy=True)
     assert len(heartbeats) >= SECONDS / HEARTBEAT_INTERVAL / 2
 
 
-def test_changes_go_at_once() -> None:
-    """A new version and a stop are told before the next heartbeat is due."""
+def test_changes_are_sent_immediately() -> None:
+    """A new configuration or a stop makes the next heartbeat due immediately."""
     link = PeerLink(Handler(), 10.0, is_outgoing=True)
     link._last_heartbeat = pb.Heartbeat(configuration=1)
     assert link._heartbeat_due_at(pb.Heartbeat(configuration=1)) > 10.0
@@ -103,11 +105,11 @@
     assert link._heartbeat_due_at(pb.Heartbeat(configuration=1, stopping=True)) <= 10.0
 
 
-def test_changes_of_targets_go_to_those_that_opened_the_link() -> None:
-    """Symptom: a leaving target still got requests two seconds later.
+def test_target_changes_are_sent_to_openers_of_the_link() -> None:
+    """Guards against a leaving target that still gets requests two seconds later.
 
-    Sequence: most instances of a large fleet hear of targets from the few that watch
-    the store. Cause: on busy links versions travelled only every 0.9 s.
+    Most instances of a large fleet learn of targets from the few that watch the store;
+    on busy links the version was sent only every 0.9 s.
     """
     for is_outgoing, pause in (
         (False, HEARTBEAT_INTERVAL),
@@ -119,8 +121,8 @@
         assert link._heartbeat_due_at(pb.Heartbeat(targets=2)) == 10.0 + pause
 
 
-def test_what_follows_a_document_does_not_overtake_it() -> None:
-    """Guards against a change of a key map that arrives before the map."""
+def test_later_item_does_not_overtake_a_document() -> None:
+    """Guards against a key map change that arrives before the map."""
     sender = PeerLink(Handler(), 10.0, is_outgoing=True)
     change = pb.Item(key_map_change=pb.KeyMapChange(number=2))
     sender.send_after_documents(change)
--- a/tests/fleet/test_links.py
+++ b/tests/fleet/test_links.py
@@ -1,4 +1,4 @@
-"""Tests of the links between instances as a whole."""
+"""Tests of the management of an instance's links."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 
 class Handler:
-    """Notes who is at the other side."""
+    """Records the incarnation of the other side."""
 
     def __init__(self) -> None:
         self.greeted = asyncio.Event()
 
     def handle_item(self, link: PeerLink, item: Item) -> None:
-        """Take a greeting."""
+        """Handle a `Hello`."""
         if item.WhichOneof("body") == "hello":
             link.incarnation = item.hello.incarnation
             self.greeted.set()
@@ -37,7 +37,7 @@
 
 
 def make_links(name: str, handler: Handler) -> FleetLinks:
-    """Return the links of an instance."""
+    """Return an instance's links."""
     return FleetLinks(
         incarnation=f"{name}/1", own_peer=name, cpu_capacity=1.0, handler=handler
     )
@@ -45,10 +45,10 @@
 
 @pytest.fixture(name="messages")
 def messages_fixture() -> Iterator[list[dict[str, Any]]]:
-    """Return the messages that are logged."""
+    """Yield the list of logged messages."""
     messages: list[dict[str, Any]] = []
     add_destinations(messages.append)
-    # Before the first destination eliot keeps messages, and hands them to it.
+    # eliot buffers messages and passes them to the first destination.
     messages.clear()
     yield messages
     remove_destination(messages.append)
@@ -56,7 +56,7 @@
 
 @pytest.fixture(name="listener")
 async def listener_fixture() -> AsyncIterator[tuple[FleetLinks, Handler, Address]]:
-    """Return links that others may open, and their address."""
+    """Yield links that listen, their handler and their address."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         address = Address(host="127.0.0.1", port=probe.getsockname()[1])
@@ -70,11 +70,10 @@
 async def test_link_that_its_opener_ends_has_a_line(
     listener: tuple[FleetLinks, Handler, Address], messages: list[dict[str, Any]]
 ) -> None:
-    """Symptom: an instance was killed and no other one's log named it.
+    """Guards against a killed instance that no other instance's log names.
 
-    Sequence: the instance had opened links; they were cancelled when its connections
-    closed. Cause: only links that ended by an error had a line, and what grpclib wrote
-    of the cancelled call named no peer.
+    Only links closed by an error were logged. The links of the killed instance were
+    cancelled, and grpclib's log line for a cancelled call names no peer.
     """
     links, handler, address = listener
     opener = make_links("opener", Handler())
@@ -92,14 +91,14 @@
     await opener.async_unload()
 
 
-async def test_link_that_is_no_longer_wanted_is_told_of(
+async def test_closing_an_unwanted_link_is_reported(
     listener: tuple[FleetLinks, Handler, Address],
 ) -> None:
-    """Symptom: requests waited for a slot until their time was over.
+    """Guards against requests that wait for a slot until they time out.
 
-    Sequence: an instance asked another for slots; a new list of issuers no longer named
-    that one, and the link was ended. Cause: whoever asks learnt only of links that were
-    lost, and the ended one stayed among those to be used.
+    An instance had asked a permit issuer for slots when a new issuer list removed the
+    issuer and its link was closed. The pending requests were notified only of links
+    lost by errors, so the closed link stayed in use.
     """
     _, _, address = listener
     handler = Handler()
--- a/tests/fleet/virtual_time.py
+++ b/tests/fleet/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock jumps to the next timer instead of waiting for it."""
+"""Event loop whose clock jumps to the next timer instead of waiting."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 class _JumpingSelector(selectors.DefaultSelector):
-    """Advances a clock by the time that it is asked to wait."""
+    """Selector that advances its clock instead of waiting."""
 
     now = 0.0
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        """Return nothing at once; nothing but timers is waited for."""
+        """Advance the clock by the timeout and return ready events without waiting."""
         if timeout:
             self.now += timeout
         return super().select(0)
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """Runs timers in order without waiting; code takes no time."""
+    """Event loop that runs timers in order without waiting; code takes no time."""
 
     def __init__(self) -> None:
         self._jumping = _JumpingSelector()
@@ -35,6 +35,6 @@
 
 
 def run_in_virtual_time(main: Coroutine[Any, Any, _Result]) -> _Result:
-    """Return what a coroutine returns that uses timers only."""
+    """Run a coroutine that only waits for timers and return its result."""
     with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         return runner.run(main)
--- a/tests/helpers/test_logging.py
+++ b/tests/helpers/test_logging.py
@@ -1,4 +1,4 @@
-"""Log lines: their form, and their way to a stream."""
+"""Tests of the format and the writing of log lines."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Stream(io.BytesIO):
-    """Stream that keeps its text, and can stall."""
+    """Stream in memory that can be stalled."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -34,14 +34,14 @@
         self.may_write.set()
 
     def write(self, data: object) -> int:
-        """Write once writing is allowed."""
+        """Write as soon as writing is allowed."""
         self.may_write.wait()
         assert isinstance(data, bytes)
         return super().write(data)
 
     @property
     def lines(self) -> list[str]:
-        """Return what was written."""
+        """Return the written lines."""
         return self.getvalue().decode().splitlines()
 
 
@@ -53,7 +53,7 @@
 
 @pytest.fixture
 def setup(stream: Stream) -> Iterator[LoggingSetup]:
-    """Return logging to the stream."""
+    """Yield logging that writes to the stream."""
     started = LoggingSetup(stream, "info")
     started.setup()
     yield started
@@ -80,13 +80,13 @@
     ],
 )
 def test_values_are_escaped(value: object, text: str) -> None:
-    """What is not plain is quoted."""
+    """Values with special characters are quoted."""
     assert format_value(value) == text
 
 
 @given(st.text())
 def test_text_stays_one_value(text: str) -> None:
-    """No text ends its value, and each comes back as it was."""
+    """No text can break out of its value, and every text can be parsed back."""
     written = format_value(text)
     assert written.isascii()
     assert written.isprintable()
@@ -97,23 +97,23 @@
         assert not set(written) & set(' "=')
 
 
-def test_keys_cannot_hold_pairs() -> None:
-    """A key is made plain."""
+def test_keys_are_escaped() -> None:
+    """Special characters in a key are replaced."""
     assert format_pairs({"a b=c": 1, "d": None}) == "a_b_c=1 d=-"
 
 
 def test_time_is_utc_with_milliseconds() -> None:
-    """Times are written so that they sort."""
+    """Times sort as text."""
     assert format_time(0.0019) == "1970-01-01T00:00:00.001Z"
 
 
 def test_messages_of_eliot_become_lines(setup: LoggingSetup, stream: Stream) -> None:
-    """A message is one line with its level and event."""
+    """A message becomes one line with its level and event."""
     log_message(message_type="moved", level="warning", key="a b", slices=3)
     with pytest.raises(ValueError, match="bad"), start_action(action_type="write"):
         raise ValueError("bad")
     setup.unload()
-    # Before the first destination eliot keeps messages, so earlier ones may come first.
+    # eliot buffers messages until the first destination, so others may come first.
     moved, started, failed = stream.lines[-3:]
     assert moved.endswith('level=warning event=moved key="a b" slices=3')
     assert "level=info event=write action_status=started" in started
@@ -121,7 +121,7 @@
 
 
 def test_records_of_logging_become_lines(setup: LoggingSetup, stream: Stream) -> None:
-    """Libraries' records, with a traceback of several lines, are one line each."""
+    """A library's record becomes one line, even with a traceback."""
     logger = logging.getLogger("library")
     try:
         raise ValueError("bad\nvalue")
@@ -133,8 +133,8 @@
     assert r"traceback=" in line
 
 
-def test_lower_levels_are_left_out(stream: Stream) -> None:
-    """A level above info hides what is less."""
+def test_lower_levels_are_not_written(stream: Stream) -> None:
+    """Messages below the configured level are not written."""
     started = LoggingSetup(stream, "warning")
     started.setup()
     log_message(message_type="quiet")
@@ -144,10 +144,10 @@
 
 
 def test_stalled_reader_does_not_hold_up_the_writer(stream: Stream) -> None:
-    """Symptom: an instance stops answering when the reader of its log stalls.
+    """Guards against an instance that stops answering when its log reader stalls.
 
-    The pipe is full and a write blocks. Were it made in the event loop, heartbeats
-    would stop with it. Lines above the limit are dropped and counted instead.
+    A write to a full pipe blocks. In the event loop it would also block heartbeats, so
+    lines above the queue limit are dropped and counted instead.
     """
     stream.may_write.clear()
     writer = LineWriter(stream, limit=3)
@@ -167,11 +167,10 @@
 def test_lines_stay_whole_for_a_reader_of_pieces(
     stream: Stream, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Symptom: moves were planned that never ended, going by the log.
+    """Guards against lines lost by a reader that truncates long writes.
 
-    Sequence: 50 lines were written at once, and whoever collected them kept the first
-    8,192 bytes of a write: 67 of 365 moves of a day lacked their end. Cause: a write
-    had no bound; up to `PIPE_BUF` bytes a pipe takes and gives whole.
+    A collector kept only the first 8,192 bytes of a write of 50 lines, so the log of a
+    day lacked the end of 67 of 365 moves. Writes of up to `PIPE_BUF` bytes are atomic.
     """
     writes: list[bytes] = []
     monkeypatch.setattr(stream, "write", writes.append)
@@ -187,8 +186,8 @@
     assert [written[:5] for written in long] == [b"long "]
 
 
-def test_closed_stream_costs_lines_only() -> None:
-    """A reader that went away does not end the writing thread."""
+def test_closed_stream_only_drops_lines() -> None:
+    """A closed reader does not terminate the writer thread."""
     stream = Stream()
     writer = LineWriter(stream)
     writer.start()
@@ -198,8 +197,8 @@
     assert writer.dropped == 1
 
 
-def test_long_text_is_cut() -> None:
-    """A caller's path or a traceback does not fill the room of all lines."""
+def test_long_text_is_truncated() -> None:
+    """Guards against long paths or tracebacks that use up the log volume."""
     written = format_value("a" * (MAX_TEXT_LENGTH + 7))
     assert json.loads(written) == f"{'a' * MAX_TEXT_LENGTH}...(7 more)"
 
@@ -211,17 +210,17 @@
         (LogVolume(lines=1_000, bytes=80), 6, 2),
     ],
 )
-def test_volume_of_a_second_has_a_bound(
+def test_volume_per_second_is_limited(
     stream: Stream,
     monkeypatch: pytest.MonkeyPatch,
     volume: LogVolume,
     kept: int,
     failures: int,
 ) -> None:
-    """Symptom: logs of a bad minute filled the disk of whoever collects them.
+    """Guards against logs that fill the collector's disk while every target fails.
 
-    Sequence: every target failed, and each request and message had its lines. Cause:
-    only requests' lines had a bound, in lines. A quarter is kept for failures.
+    Only the lines of requests were limited, and only by their number. A quarter of the
+    volume is reserved for failures.
     """
     monkeypatch.setattr("swiftpin.helpers.logging_writer.time.monotonic", lambda: 5.0)
     writer = LineWriter(stream, volume=volume)
@@ -239,8 +238,8 @@
     assert writer.lines_written == len(stream.lines)
 
 
-def test_failures_keep_their_room(stream: Stream) -> None:
-    """Lines of served requests do not take the room of those that are looked for."""
+def test_queue_space_is_reserved_for_failures(stream: Stream) -> None:
+    """Lines of served requests don't use the queue space reserved for failures."""
     stream.may_write.clear()
     writer = LineWriter(stream, limit=8)
     for number in range(20):
--- a/tests/helpers/test_time_slices.py
+++ b/tests/helpers/test_time_slices.py
@@ -1,4 +1,4 @@
-"""Tests of long computations in slices."""
+"""Tests of long computations in time slices."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def count(steps: int) -> Generator[None, None, int]:
-    """Return the number of steps after as many."""
+    """Yield `steps` times and return the number of steps."""
     for _ in range(steps):
         yield
     return steps
@@ -19,18 +19,18 @@
 
 @pytest.fixture(autouse=True)
 def clock_fixture(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let each look at the clock take a millisecond."""
+    """Advance the clock by a millisecond on every read."""
     now = iter(range(1_000_000))
     monkeypatch.setattr(time_slices, "monotonic_now", lambda: next(now) / 1000)
 
 
-def test_short_computation_is_done_at_once() -> None:
-    """A small configuration is in force when the call returns."""
+def test_short_computation_completes_in_one_slice() -> None:
+    """A short computation is completed when the first call returns."""
     assert run_time_slice(count(5), 0.01) == Completed(5)
 
 
 def test_long_computation_pauses() -> None:
-    """Guards against an event loop that serves nobody for tens of milliseconds."""
+    """Guards against an event loop blocked for tens of milliseconds."""
     steps = count(100)
     pauses = 0
     while (done := run_time_slice(steps, 0.01)) is None:
@@ -39,6 +39,6 @@
     assert pauses >= 5
 
 
-def test_whole_computation_takes_no_heed_of_time() -> None:
-    """What runs outside the event loop is not cut up."""
+def test_run_to_completion_does_not_pause() -> None:
+    """Outside the event loop a computation runs without pauses."""
     assert run_to_completion(count(100)) == 100
--- a/tests/model/test_store_revision.py
+++ b/tests/model/test_store_revision.py
@@ -1,4 +1,4 @@
-"""Tests of revisions that are ordered across restores."""
+"""Tests of the order of store revisions across restores."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 )
 
 
-def test_later_era_is_newer_whatever_its_number() -> None:
-    """A restored store counts on from an older number."""
+def test_later_era_is_newer_regardless_of_its_number() -> None:
+    """A restored store continues from an older number."""
     assert make_revision(2, 10) > make_revision(1, 40) > make_revision(1, 39)
 
 
@@ -22,7 +22,7 @@
     ("era", "number"), [(0, 0), (0, 7), (3, 0), (MAX_ERA, REVISIONS_PER_ERA - 1)]
 )
 def test_era_and_number_can_be_read_back(era: int, number: int) -> None:
-    """The store is asked by its own number."""
+    """Calls to the store use its own number."""
     revision = make_revision(era, number)
     assert (era_of(revision), number_of(revision)) == (era, number)
     assert revision < 2**63
@@ -31,7 +31,7 @@
 @pytest.mark.parametrize(
     ("era", "number"), [(-1, 1), (MAX_ERA + 1, 1), (0, -1), (0, REVISIONS_PER_ERA)]
 )
-def test_number_out_of_range_is_refused(era: int, number: int) -> None:
-    """It would run into the next era."""
+def test_number_out_of_range_is_an_error(era: int, number: int) -> None:
+    """A larger number would overlap with the next era."""
     with pytest.raises(ValueError, match="out of range"):
         make_revision(era, number)
--- a/tests/platform/test_arbitrary_input.py
+++ b/tests/platform/test_arbitrary_input.py
@@ -1,4 +1,4 @@
-"""Every decoder either decodes or raises its typed error, whatever it is fed."""
+"""Tests that decoders raise only their typed errors, whatever the input."""
 
 from __future__ import annotations
 
@@ -70,78 +70,78 @@
 NEIGHBOURS = orjson.loads(encode_target_list([target("a", 3, born=7)]))
 
 
-def places(document: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:  # noqa: ANN401
+def value_paths(document: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:  # noqa: ANN401
     """Return the paths of all values in a document."""
     found = [path]
     if isinstance(document, dict):
         for name, value in document.items():
-            found += places(value, (*path, name))
+            found += value_paths(value, (*path, name))
     elif isinstance(document, list):
         for number, value in enumerate(document):
-            found += places(value, (*path, number))
+            found += value_paths(value, (*path, number))
     return found
 
 
-def replaced(document: Any, path: tuple[Any, ...], value: object) -> Any:  # noqa: ANN401
-    """Return a document with the value at a path replaced."""
+def replace_at(document: Any, path: tuple[Any, ...], value: object) -> Any:  # noqa: ANN401
+    """Return a copy of a document with the value at a path replaced."""
     if not path:
         return value
     first, *rest = path
     changed = dict(document) if isinstance(document, dict) else list(document)
-    changed[first] = replaced(document[first], tuple(rest), value)
+    changed[first] = replace_at(document[first], tuple(rest), value)
     return changed
 
 
-def spoilt(document: object) -> st.SearchStrategy[Any]:
-    """Return arbitrary documents, and a good one with one value replaced."""
+def corrupted(document: object) -> st.SearchStrategy[Any]:
+    """Generate arbitrary documents, and copies of a valid one with a value replaced."""
     return documents | st.builds(
-        lambda path, value: replaced(document, path, value),
-        st.sampled_from(places(document)),
+        lambda path, value: replace_at(document, path, value),
+        st.sampled_from(value_paths(document)),
         documents,
     )
 
 
 def as_object(written: object) -> PlatformObject:
-    """Return what was written as an object of the store."""
+    """Return an object of the store with some content."""
     return PlatformObject(
         name="a", revision=3, is_deleted=False, document={"specification": written}
     )
 
 
-@given(spoilt(PAGE))
+@given(corrupted(PAGE))
 def test_page(page: object) -> None:
-    """A page of a list."""
+    """Decode a page of a list."""
     with suppress(StoreUnavailableError):
         decode_list(page, 0)
 
 
-@given(spoilt(CHANGES))
+@given(corrupted(CHANGES))
 def test_changes(changes: object) -> None:
-    """What a watch brings."""
+    """Decode the answer to a watch."""
     with suppress(StoreUnavailableError):
         decode_changes(changes, 0)
 
 
-@given(spoilt(STORED))
+@given(corrupted(STORED))
 def test_object(entry: object) -> None:
-    """One object, and the target in it."""
+    """Decode an object and the target in it."""
     with suppress(StoreUnavailableError, UnusableEntryError):
         decode_target(decode_object(entry, 0))
 
 
-@given(spoilt(content("a", born=5)))
+@given(corrupted(content("a", born=5)))
 def test_target_entry(written: object) -> None:
-    """What a target, or another writer, says of a target."""
+    """Decode a target's entry; a valid one survives a round trip."""
     with suppress(UnusableEntryError):
         found = decode_target(as_object(written))
         assert decode_target_list(encode_target_list([found])) == [found]
 
 
-@given(spoilt(NEIGHBOURS))
-def test_target_list_of_a_neighbour(told: object) -> None:
-    """A list of targets between instances."""
+@given(corrupted(NEIGHBOURS))
+def test_target_list_of_a_neighbour(sent: object) -> None:
+    """Decode a list of targets from another instance."""
     try:
-        encoded = orjson.dumps(told)
+        encoded = orjson.dumps(sent)
     except TypeError:
         return
     with suppress(UnusableEntryError):
@@ -150,7 +150,7 @@
 
 @given(st.binary(max_size=200))
 def test_bytes(body: bytes) -> None:
-    """Bytes of an answer, of a neighbour's list and of its configuration."""
+    """Decode bytes as JSON, as a target list and as a packed configuration."""
     with suppress(FieldError):
         load_json(body)
     with suppress(UnusableEntryError):
@@ -159,17 +159,17 @@
     ConfigurationHolder().adopt_packed(zlib.compress(body), 0.0)
 
 
-@given(spoilt(configuration(3, ROUTES)))
+@given(corrupted(configuration(3, ROUTES)))
 def test_configuration(document: object) -> None:
-    """The operators' configuration; the one in force stays if it can't be read."""
+    """Decode a configuration, and adopt it from the store."""
     with suppress(ConfigurationError):
         run_to_completion(decode_configuration(document))
     ConfigurationHolder().adopt_changes((as_object(document),), 3, 0.0)
 
 
-@given(spoilt(LEASE))
+@given(corrupted(LEASE))
 def test_lease(record: object) -> None:
-    """The record of the lease."""
+    """Decode a lease record; a valid one survives a round trip."""
     try:
         found = decode_lease(record)
     except ConfigurationError:
@@ -181,19 +181,19 @@
     assert decode_lease(orjson.loads(orjson.dumps(encode_lease(found)))) == found
 
 
-@given(spoilt(ASSIGNMENT))
+@given(corrupted(ASSIGNMENT))
 def test_assignment(record: object) -> None:
-    """The record of who owns which keys: what is read covers all keys once."""
+    """Decode an assignment; a valid one covers every key exactly once."""
     try:
         found = decode_assignment(record)
     except ConfigurationError:
         return
-    assert_whole(found)
+    assert_covers_all_keys(found)
     assert decode_assignment(encode_assignment(found)) == found
 
 
-def assert_whole(assignment: Assignment) -> None:
-    """Check that each key has exactly one segment."""
+def assert_covers_all_keys(assignment: Assignment) -> None:
+    """Assert that each key belongs to exactly one segment."""
     expected = 0
     for segment in assignment.segments:
         assert segment.first == expected
@@ -202,9 +202,9 @@
     assert expected == KEYS
 
 
-@given(spoilt({"self": {"node": "n"}, "network": {}, "platform": {}, "terms": {}}))
+@given(corrupted({"self": {"node": "n"}, "network": {}, "platform": {}, "terms": {}}))
 def test_settings(document: object) -> None:
-    """The settings of a process."""
+    """Decode the settings of a process."""
     with suppress(ConfigurationError):
         decode_settings(document)
 
@@ -212,7 +212,7 @@
 @settings(max_examples=20)
 @given(body=st.binary(max_size=50))
 def test_settings_file(tmp_path_factory: pytest.TempPathFactory, body: bytes) -> None:
-    """Bytes of the settings file."""
+    """Read arbitrary bytes as a settings file."""
     path: Path = tmp_path_factory.getbasetemp() / "settings"
     path.write_bytes(body)
     with pytest.raises(ConfigurationError):
@@ -221,23 +221,20 @@
 
 @given(deadline=st.text(max_size=8), key=st.text(max_size=8))
 def test_request_head(deadline: str, key: str) -> None:
-    """Headers of a caller; what can't be read is the caller's mistake."""
+    """Decode a caller's headers; malformed ones are a `ValueError`."""
     headers = {"Swiftpin-Deadline-Milliseconds": deadline, "Swiftpin-Shard-Key": key}
     with suppress(ValueError):
         decode_request_head(headers)
 
 
 @pytest.mark.parametrize("deadline", ["nan", "inf", "-inf"])
-def test_deadline_that_is_no_time_is_the_callers_mistake(deadline: str) -> None:
-    """Symptom: a request failed with an error of the router's own.
-
-    Sequence: its deadline read "inf". Cause: it was a number to Python.
-    """
+def test_deadline_that_is_not_finite_is_an_error(deadline: str) -> None:
+    """Guards against an internal error for a deadline that parses as nan or infinite."""
     with pytest.raises(ValueError, match="not a time"):
         decode_request_head({"Swiftpin-Deadline-Milliseconds": deadline})
 
 
 @given(status=st.integers(100, 599), load=st.text(max_size=12))
 def test_answer_head(status: int, load: str) -> None:
-    """Headers of a target; a spoilt one says nothing."""
+    """Decode a target's headers; a malformed load is ignored."""
     decode_answer_head(status, {"Swiftpin-Upstream-Load": load})
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -1,4 +1,4 @@
-"""Tests of what the adapter decodes."""
+"""Tests of the adapter's decoders and encoders."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @pytest.fixture(name="entry")
 def entry_fixture() -> dict[str, Any]:
-    """Return a target's entry as it lies in the store."""
+    """Return a target's entry in its stored form."""
     return {
         "metadata": {"name": "i-1", "revision": 7, "deleting": False},
         "specification": {
@@ -49,15 +49,14 @@
 
 
 def as_object(entry: dict[str, Any]) -> PlatformObject:
-    """Return an entry as an object."""
+    """Return an entry as an object of the store."""
     return PlatformObject(name="i-1", revision=7, is_deleted=False, document=entry)
 
 
-def test_state_of_a_target_stands_in_its_specification(entry: dict[str, Any]) -> None:
-    """Symptom: no target was known.
+def test_target_state_is_read_from_the_specification(entry: dict[str, Any]) -> None:
+    """Guards against rejecting all targets as malformed.
 
-    Sequence: targets registered; their entries were read and dropped as malformed.
-    Cause: the state was looked for in the object's own status, which stays empty.
+    The state was read from the object's own `status` field, which stays empty.
     """
     target = decode_target(as_object(entry))
     assert target.is_draining
@@ -66,20 +65,20 @@
 
 
 def test_malformed_entry_is_an_error(entry: dict[str, Any]) -> None:
-    """An entry that cannot be read is told from one that is gone."""
+    """A malformed entry is distinguished from a deleted one."""
     del entry["specification"]["information"]["slots"]
     with pytest.raises(ConfigurationError):
         decode_target(as_object(entry))
 
 
-def test_targets_come_back_from_a_neighbour(entry: dict[str, Any]) -> None:
-    """What instances tell each other is what the store said."""
+def test_target_list_round_trip(entry: dict[str, Any]) -> None:
+    """Instances send each other targets exactly as read from the store."""
     target = decode_target(as_object(entry))
     assert decode_target_list(encode_target_list([target])) == [target]
 
 
 def test_longest_prefix_of_the_host_wins() -> None:
-    """A route under another one's prefix is found first."""
+    """The route with the longest matching prefix is found."""
     document = configuration(3, [*ROUTES, route("/read/deep/", "unsafe")])
     found = run_to_completion(decode_configuration(document))
     assert found.version == 3
@@ -91,8 +90,8 @@
     assert found.find_route("other.example", "/read/x") is None
 
 
-def test_unknown_kind_is_never_repeated() -> None:
-    """A kind that a later version brings counts as not repeatable."""
+def test_unknown_kind_is_never_retried() -> None:
+    """A kind added by a later version counts as not repeatable."""
     found = run_to_completion(
         decode_configuration(configuration(3, [route("/a/", "odd")]))
     )
@@ -100,13 +99,13 @@
 
 
 def test_malformed_configuration_is_an_error() -> None:
-    """The one in force stays when a newer one cannot be read."""
+    """A malformed configuration raises an error, so that the current one stays."""
     with pytest.raises(ConfigurationError):
         run_to_completion(decode_configuration({"version": "r9"}))
 
 
 def settings_document(**more_bounds: float) -> dict[str, Any]:
-    """Return a settings file."""
+    """Return the content of a settings file."""
     bounds = dict.fromkeys(
         ("drain_ms", "config_apply_ms", "hold_max_ms", "stability_window_ms"), 2000
     )
@@ -140,8 +139,8 @@
     }
 
 
-def test_settings_name_addresses_and_bounds() -> None:
-    """Milliseconds of the file become seconds; peers take the first inner port."""
+def test_settings_contain_addresses_and_bounds() -> None:
+    """Milliseconds become seconds, and peers use the first internal port."""
     settings = decode_settings(settings_document())
     assert str(settings.peer_address) == "10.0.0.2:7720"
     assert settings.seeds == ("10.0.0.9:7720",)
@@ -151,15 +150,15 @@
 
 
 def test_settings_bound_evacuations_and_cold_targets() -> None:
-    """Deployments without such rules leave the figures out."""
+    """The optional limits for evacuations and cold targets are read."""
     document = settings_document(evacuation_ms=5000, cold_overshoot=1.5, cold_slack=8)
     bounds = decode_settings(document).bounds
     assert bounds.evacuation_limit == 5.0
     assert bounds.cold_limit(4.0) == 14.0
 
 
-def test_services_declare_what_cold_targets_bear() -> None:
-    """A service that declares no rate has no limit."""
+def test_services_declare_rates_of_cold_targets() -> None:
+    """A service without a declared rate has no limit."""
     document = configuration(7, ROUTES)
     document["services"][0].update(cold_start_s=3.0, cold_per_s=4.7)
     document["services"][1].pop("cold_per_s")
@@ -170,25 +169,26 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "work_factor"), [("3,0,8", 1.0), ("3,0,8,140", 1.4), ("0,2,4,300", 3.0)]
+    ("text", "slowdown_factor"),
+    [("3,0,8", 1.0), ("3,0,8,140", 1.4), ("0,2,4,300", 3.0)],
 )
-def test_target_tells_its_load_and_how_slow_its_machine_is(
-    text: str, work_factor: float
+def test_load_header_with_and_without_work_time(
+    text: str, slowdown_factor: float
 ) -> None:
-    """Guards against a load that is lost with the figure of a shared machine."""
+    """Guards against ignoring a load header that contains the optional work time."""
     load = decode_answer_head(200, {"Swiftpin-Upstream-Load": text}).load
     assert load is not None
-    assert load.slowdown_factor == pytest.approx(work_factor)
+    assert load.slowdown_factor == pytest.approx(slowdown_factor)
 
 
 @pytest.mark.parametrize("text", ["", "3,0", "3,0,8,0", "-1,0,8", "3,0,8,9,1", "a,b,c"])
-def test_spoilt_load_says_nothing(text: str) -> None:
-    """Guards against decisions by figures that no target tells."""
+def test_malformed_load_is_ignored(text: str) -> None:
+    """Guards against decisions based on a malformed load header."""
     assert decode_answer_head(200, {"Swiftpin-Upstream-Load": text}).load is None
 
 
-def test_only_end_to_end_headers_go_on() -> None:
-    """Headers of one connection end here; those of the router are its own."""
+def test_only_end_to_end_headers_are_forwarded() -> None:
+    """Hop-by-hop headers are dropped, and the router sets its own headers."""
     received = [
         ("Host", "desk.example"),
         ("Connection", "X-Hop, close"),
@@ -210,14 +210,14 @@
     assert "Keep-Alive" not in encode_answer_headers([("Keep-Alive", "timeout=5")])
 
 
-def test_malformed_key_is_the_callers_mistake() -> None:
-    """A key beyond the range is not routed anywhere."""
+def test_key_out_of_range_is_an_error() -> None:
+    """A request with a key out of range is not routed."""
     with pytest.raises(ValueError, match="out of range"):
         decode_request_head({"Swiftpin-Shard-Key": "65536"})
 
 
-def test_answer_tells_whether_the_request_ran() -> None:
-    """Only a target's own word, or 421, says that it did not."""
+def test_answer_head_reports_whether_the_request_ran() -> None:
+    """Only the target's own header or status 421 shows that it did not run."""
     assert decode_answer_head(503, {"Swiftpin-Not-Executed": "1"}).not_executed
     assert decode_answer_head(421, {}).not_executed
     assert not decode_answer_head(503, {}).not_executed
@@ -225,8 +225,8 @@
     assert not is_answer_to("q1", {"Swiftpin-Request-Id": "q0"})
 
 
-def test_removals_of_a_watch_are_told_from_changes() -> None:
-    """The event says whether the object is gone."""
+def test_deletions_in_a_watch_are_recognized() -> None:
+    """The event contains whether the object was deleted."""
     event = {"object": {"metadata": {"name": "a", "revision": 2}}, "deleted": True}
     changes = decode_changes({"events": [event], "at": 5}, 0)
     assert changes.revision == 5
@@ -236,7 +236,7 @@
 @pytest.mark.parametrize(
     "page", [[], {"items": 1, "at": 1}, {"items": []}, {"items": [], "at": True}]
 )
-def test_page_that_cannot_be_read_counts_as_no_answer(page: object) -> None:
-    """What is wrong with the page itself is the store's."""
+def test_malformed_page_is_an_error(page: object) -> None:
+    """A malformed page counts as a failure of the store."""
     with pytest.raises(StoreUnavailableError):
         decode_list(page, 0)
--- a/tests/platform/test_long_answers.py
+++ b/tests/platform/test_long_answers.py
@@ -1,4 +1,4 @@
-"""Tests of long answers of the store over a thin link."""
+"""Tests of long answers from the store over a slow link."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
 ) -> None:
-    """Answer a call with a body that takes a while."""
+    """Answer a call with a body that is sent slowly."""
     await reader.readuntil(b"\r\n\r\n")
     body = b'{"events":[],"at":7}' + PIECE * pieces
     head = f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n"
@@ -38,7 +38,7 @@
 
 @pytest.fixture(name="make_store")
 async def make_store_fixture() -> AsyncIterator[MakeStore]:
-    """Return a function that starts a store with slow answers."""
+    """Yield a function that starts a store with slow answers."""
     clients = HttpClients()
     servers: list[asyncio.Server] = []
 
@@ -59,25 +59,25 @@
 async def test_long_answer_is_read_as_long_as_it_arrives(
     make_store: MakeStore,
 ) -> None:
-    """Guards against a configuration that is given up and asked for again for ever."""
+    """Guards against endless retries of a long answer that arrives slowly."""
     store = await make_store(PIECES, GRACE / 4)
     changes = await store.async_watch("config", 5, 0.0, grace=GRACE)
     assert changes.revision == 7
 
 
-async def test_short_answer_keeps_its_limit(
+async def test_short_answer_keeps_its_timeout(
     make_store: MakeStore,
 ) -> None:
-    """A lease must not be held up by an answer that comes drop by drop."""
+    """Guards against a lease delayed by a short answer that arrives very slowly."""
     store = await make_store(2, GRACE / 2)
     with pytest.raises(StoreUnavailableError):
         await store.async_watch("config", 5, 0.0, grace=GRACE)
 
 
-async def test_long_answer_that_stops_is_given_up(
+async def test_stalled_long_answer_times_out(
     make_store: MakeStore,
 ) -> None:
-    """Guards against a read that waits for a connection that fell silent."""
+    """Guards against a read that waits for a dead connection."""
     store = await make_store(PIECES, 2.0)
     async with asyncio.timeout(2.0):
         with pytest.raises(StoreUnavailableError):
--- a/tests/platform/test_other_writers.py
+++ b/tests/platform/test_other_writers.py
@@ -1,4 +1,4 @@
-"""Tests of entries that another writer left in the store."""
+"""Tests of malformed store entries created by other writers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def item(name: object, revision: object = 3) -> dict[str, Any]:
-    """Return an object as it lies in a page."""
+    """Return an object as it appears in a page of a list."""
     return {
         "metadata": {"name": name, "revision": revision, "deleting": False},
         "specification": content("a"),
@@ -27,13 +27,13 @@
 
 
 def as_object(written: object) -> PlatformObject:
-    """Return an entry as an object."""
+    """Return an object of the store with some content."""
     return PlatformObject(
         name="a", revision=3, is_deleted=False, document={"specification": written}
     )
 
 
-SPOILT: list[object] = [
+MALFORMED: list[object] = [
     None,
     7,
     "text",
@@ -54,28 +54,27 @@
 ]
 
 
-@pytest.mark.parametrize("spoilt", SPOILT)
-def test_spoilt_item_leaves_the_others_of_its_page(spoilt: object) -> None:
-    """Symptom: no target was known, and the store counted as lost.
+@pytest.mark.parametrize("malformed", MALFORMED)
+def test_malformed_item_does_not_hide_others_of_its_page(malformed: object) -> None:
+    """Guards against losing all targets and the store because of one malformed item.
 
-    Sequence: another writer spoilt one entry; each list held it.
-    Cause: one malformed item made the whole page count as no answer.
+    A single malformed item made the whole page count as unanswered, on every list.
     """
-    page = decode_list({"items": [item("a"), spoilt, item("c")], "at": 9}, 0)
+    page = decode_list({"items": [item("a"), malformed, item("c")], "at": 9}, 0)
     assert [found.name for found in page.objects if found.is_readable] == ["a", "c"]
     assert len(page.objects) == 3
 
 
-@pytest.mark.parametrize("spoilt", SPOILT)
-def test_spoilt_object_leaves_the_others_of_its_watch(spoilt: object) -> None:
-    """Symptom: no change was learnt any more.
+@pytest.mark.parametrize("malformed", MALFORMED)
+def test_malformed_object_does_not_hide_others_of_its_watch(malformed: object) -> None:
+    """Guards against a malformed object that blocks all further changes.
 
-    Sequence: a watch brought a spoilt entry; its revision was never passed, so each
-    next watch brought it again. Cause: one malformed event made all count as none.
+    A malformed event made the whole watch fail, so its revision was never passed and
+    every later watch returned the event again.
     """
     events = [
         {"object": item("a"), "deleted": False},
-        {"object": spoilt, "deleted": False},
+        {"object": malformed, "deleted": False},
         {"object": item("c"), "deleted": True},
     ]
     changes = decode_changes({"events": events, "at": 9}, 0)
@@ -84,15 +83,15 @@
 
 
 @pytest.mark.parametrize("event", [None, [], {}, {"object": item("b")}])
-def test_spoilt_event_leaves_the_others_of_its_watch(event: object) -> None:
-    """The same where the event around the object is spoilt."""
+def test_malformed_event_does_not_hide_others_of_its_watch(event: object) -> None:
+    """A malformed event is handled like a malformed object."""
     good = {"object": item("a"), "deleted": False}
     changes = decode_changes({"events": [event, good], "at": 9}, 0)
     assert [found.is_readable for found in changes.objects] == [False, True]
 
 
-def test_name_of_a_spoilt_item_is_kept() -> None:
-    """Whoever knew a target by that name learns that its entry can't be read."""
+def test_name_of_a_malformed_item_is_kept() -> None:
+    """The name shows which known target's entry became unreadable."""
     page = decode_list({"items": [item("b", "x")], "at": 9}, 0)
     assert page.objects[0].name == "b"
 
@@ -126,13 +125,11 @@
         (lambda entry: entry.update(born=-1), UnusableReason.RANGE),
     ],
 )
-def test_entry_of_another_writer_names_no_target(
-    change: Change, reason: UnusableReason
-) -> None:
-    """Symptom: requests went to a target in a state that nobody knows.
+def test_malformed_entry_is_rejected(change: Change, reason: UnusableReason) -> None:
+    """Guards against requests to a target whose state is unknown.
 
-    Sequence: an entry held a state, a type or a value that the pages do not name.
-    Cause: it was read as far as Python's conversions went.
+    Entries with undocumented states, types or values were accepted if Python could
+    convert them.
     """
     written = content("a")
     change(written)
@@ -141,18 +138,17 @@
     assert caught.value.reason is reason
 
 
-def test_start_of_a_target_is_a_whole_number() -> None:
-    """A target that tells its start is a life of its own."""
+def test_start_of_a_target_is_an_integer() -> None:
+    """The start time becomes part of the id of the target's life."""
     written = content("a", born=1_764_720_000_000)
     assert decode_target(as_object(written)).id == "a@1764720000000"
     assert decode_target(as_object(content("a"))).life.started_ms is None
 
 
-def test_text_that_is_not_unicode_leaves_the_rest_of_a_page() -> None:
-    """Symptom: the store counted as lost as soon as one entry held odd bytes.
+def test_invalid_unicode_does_not_hide_the_rest_of_a_page() -> None:
+    """Guards against losing the store because one entry contains invalid Unicode.
 
-    Sequence: an entry with bytes that are no text came in a page.
-    Cause: the parser refuses the whole page for one of them.
+    orjson rejects the whole page for a single invalid string.
     """
     page = load_json(b'{"items": ["\xff\xfe", "\\ud800", "b"], "at": 3}')
     assert page["items"][2] == "b"
@@ -160,7 +156,7 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"\xff", b"{", b'{"a":1', b"[" * 100_000])
-def test_bytes_that_are_no_json_are_an_error(body: bytes) -> None:
-    """An answer that is nothing at all is the store's fault."""
+def test_invalid_json_is_an_error(body: bytes) -> None:
+    """Bytes that are not JSON raise a `FieldError`."""
     with pytest.raises(FieldError):
         load_json(body)
--- a/tests/platform/test_target_control.py
+++ b/tests/platform/test_target_control.py
@@ -1,4 +1,4 @@
-"""Tests of what a target's answers to control calls are taken for."""
+"""Tests of control calls to targets and the interpretation of their answers."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class FixedClient:
-    """Gives one answer to every call; it is its own answer."""
+    """Client that returns itself as connection and answer of every call."""
 
     status: int
     headers: Mapping[str, str]
 
     async def async_connection(self, address: str, **rest: object) -> FixedClient:
-        """Return what stands for a connection."""
+        """Return the connection."""
         return self
 
     async def async_exchange_over(self, *args: object) -> FixedClient:
@@ -45,34 +45,34 @@
         return b""
 
     def finish(self, now: float) -> None:
-        """Give nothing back."""
+        """Do nothing."""
 
 
 def make_control(status: int, instance: str) -> TargetControl:
-    """Return a control that gets one answer."""
+    """Return a control whose calls all get the same answer."""
     client = FixedClient(status=status, headers={HEADER_INSTANCE: instance})
     return TargetControl(cast(HttpClient, client), lambda now: None)
 
 
 @pytest.mark.parametrize("status", [200, 421, 400])
 async def test_another_id_shows_that_the_target_is_gone(status: int) -> None:
-    """Whoever else answers at the address has it."""
+    """An answer with another target's id shows that the target was replaced."""
     with pytest.raises(TargetReplacedError):
         await make_control(status, "b").async_release("a:1", "a", GRANT, limit=1.0)
 
 
-async def test_refusal_by_the_target_itself_shows_no_end() -> None:
-    """Symptom: keys could be granted on while their holder was there.
+async def test_refusal_by_the_target_itself_is_no_replacement() -> None:
+    """Guards against granting keys to another target while one still holds them.
 
-    Sequence: the target itself answered a release with 421. Cause: the status alone
-    counted as another target's answer, so its grants were not waited for.
+    The target itself answered a release with 421. The status alone counted as the
+    answer of another target, so the end of the grants was not awaited.
     """
     with pytest.raises(UnexpectedAnswerError):
         await make_control(421, "a").async_release("a:1", "a", GRANT, limit=1.0)
 
 
 class Listener:
-    """A target on a port that notes the fences of grants."""
+    """Target that records the fences of grants and the peers of all calls."""
 
     def __init__(self) -> None:
         self.fences: list[int] = []
@@ -83,7 +83,7 @@
         self._runner: AppRunner | None = None
 
     async def async_setup(self) -> None:
-        """Listen at the address, or at a new one the first time."""
+        """Listen on the previous address, or on a new one the first time."""
         app = Application()
         app.router.add_post("/api/grant", self._async_grant)
         app.router.add_post("/api/release", self._async_release)
@@ -94,7 +94,7 @@
         self.address = f"127.0.0.1:{self._runner.addresses[0][1]}"
 
     async def async_unload(self) -> None:
-        """Stop, and break all connections."""
+        """Stop and close all connections."""
         assert self._runner is not None
         await self._runner.cleanup()
 
@@ -112,7 +112,7 @@
 
 
 class Connections:
-    """Makes grants whose fence is the number of their connection."""
+    """Creates grants whose fence is the number of their connection."""
 
     def __init__(self) -> None:
         self.used: list[int] = []
@@ -133,11 +133,11 @@
         return connection
 
 
-async def test_restart_is_seen_as_another_connection() -> None:
-    """Symptom: a target took keys under a fence that its earlier life had.
+async def test_restart_leads_to_a_new_connection() -> None:
+    """Guards against a target that accepts keys under a fence of its earlier life.
 
-    Sequence: a target started again at its address between two renewals.
-    Cause: the fence was chosen before it was known over what connection it would go.
+    The target restarted at its address between two renewals, and the fence was chosen
+    before the connection of the call was known.
     """
     listener, connections = Listener(), Connections()
     await listener.async_setup()
@@ -158,11 +158,10 @@
 
 
 async def test_grant_prefers_its_own_connection() -> None:
-    """Symptom: fences were spent by the thousand while keys moved.
+    """Guards against using thousands of fences while keys move.
 
-    Sequence: a release and renewals shared a target's connections; each renewal met
-    another connection than the last one, and so took a new fence.
-    Cause: whichever connection had been used last was taken.
+    Releases and renewals shared a target's connections, and each call used the most
+    recent one. Renewals thus changed connections, each time with a new fence.
     """
     listener, connections = Listener(), Connections()
     await listener.async_setup()
@@ -173,7 +172,7 @@
     await control.async_grant(listener.address, "a", connections.call(), limit=2.0)
     first, second = connections.used
     assert first == first_connection.number != second
-    # Both lie idle now, and the first one was used last.
+    # Both connections are idle now, and the first one was used last.
     first_connection.release(monotonic_now())
     await control.async_grant(
         listener.address, "a", connections.call(second), limit=2.0
@@ -184,10 +183,10 @@
 
 
 async def test_release_leaves_the_grants_connection_free() -> None:
-    """Symptom: fences were spent by the thousand while keys moved.
+    """Guards against using thousands of fences while keys move.
 
-    Sequence: a release waited for running work; the renewals meanwhile went over
-    another connection, under new fences. Cause: it took the connection of the grants.
+    A release occupied the connection of the grants while it waited for running work,
+    so the renewals used another connection and new fences.
     """
     listener, connections = Listener(), Connections()
     await listener.async_setup()
@@ -202,7 +201,7 @@
             avoided_connection=connections.used[-1],
             limit=2.0,
         )
-        # Both connections lie idle now, that of the release was used last.
+        # Both connections are idle now, and the release's was used last.
         await control.async_grant(
             listener.address, "a", connections.call(connections.used[0]), limit=2.0
         )
@@ -213,8 +212,8 @@
     await listener.async_unload()
 
 
-async def test_unanswered_grant_breaks_its_connection() -> None:
-    """The next try goes over another connection, and so under another fence."""
+async def test_unanswered_grant_closes_its_connection() -> None:
+    """A retry of an unanswered grant uses another connection and another fence."""
     listener, connections = Listener(), Connections()
     await listener.async_setup()
     listener.loses_answers = True
@@ -234,7 +233,7 @@
 
 
 async def test_closed_gate_sends_no_grant() -> None:
-    """Whoever lost the lease while it connected grants nothing."""
+    """An instance that lost the lease while connecting sends no grant."""
     listener, connections = Listener(), Connections()
     await listener.async_setup()
 
--- a/tests/platform/test_wire_names.py
+++ b/tests/platform/test_wire_names.py
@@ -1,4 +1,4 @@
-"""The wire's names stand in the adapter only."""
+"""Tests that the platform's wire names occur in the adapter only."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
     r"|[\"'](specification|sharding|warmup_s|cold_ms|internal_ports)[\"']"
     r"|\bupstreams?\b"
 )
-OLDER_NAMES: Final = {"Swiftpin-Request-Id"}
-"""Names of the product's own interface that are the same."""
+SHARED_NAMES: Final = {"Swiftpin-Request-Id"}
+"""Wire names that also belong to the router's own interface."""
 
-MOST_LINES: Final = 1500
+MAX_LINES: Final = 1500
 
 
 def test_no_wire_name_outside_the_adapter() -> None:
-    """Whoever changes the wire changes one folder."""
+    """A change of the wire format must affect the adapter only."""
     found = [
         f"{path.relative_to(ROOT)}: {match[0]}"
         for path in ROOT.rglob("*.py")
         if "platform" not in path.relative_to(ROOT).parts
         for match in WIRE_NAMES.finditer(path.read_text())
-        if match[0] not in OLDER_NAMES
+        if match[0] not in SHARED_NAMES
     ]
     assert found == []
 
 
 def test_adapter_is_small_and_decides_nothing() -> None:
-    """The adapter holds no clock, no loop and no choice of a target."""
+    """The adapter contains no loops and no random choices."""
     sources = [path.read_text() for path in (ROOT / "platform").glob("*.py")]
-    assert sum(source.count("\n") for source in sources) < MOST_LINES
+    assert sum(source.count("\n") for source in sources) < MAX_LINES
     for source in sources:
         assert "while True" not in source
         assert "random" not in source
--- a/tests/store/test_client.py
+++ b/tests/store/test_client.py
@@ -1,4 +1,4 @@
-"""Writes of the store client whose answers are lost."""
+"""Tests of store writes whose answers are lost."""
 
 from __future__ import annotations
 
@@ -32,14 +32,13 @@
         yield StoreClient(session, f"http://{store.address}", timeout=0.5)
 
 
-async def test_a_lost_answer_is_unknown_and_sent_once(
+async def test_write_with_a_lost_answer_is_not_resent(
     store: StoreStandin, client: StoreClient
 ) -> None:
-    """Symptom: a write that took effect is reported as a lost race.
+    """Guards against a successful write that is reported as a conflict.
 
-    Events: a connection that was used before ends after the write, without an answer.
-    Cause: the HTTP session sends PUT a second time by itself, and the second try's
-    condition meets the first one's effect.
+    If a reused connection closes without an answer, the HTTP session resends the PUT,
+    and the retry conflicts with the first attempt.
     """
     await client.async_put("warm", b"{}")
     store.faults.lose_answer_next = 1
@@ -48,8 +47,8 @@
     assert store.counters.total("writes") == 2
 
 
-async def test_a_lost_race_names_the_version(client: StoreClient) -> None:
-    """The loser learns what it would have to build on."""
+async def test_conflict_contains_the_version(client: StoreClient) -> None:
+    """The error of a conflicting write contains the current version."""
     version = await client.async_put("a", b"1", expect=ABSENT)
     with pytest.raises(StoreConflictError) as raised:
         await client.async_put("a", b"2", expect=ABSENT)
@@ -59,7 +58,7 @@
 async def test_without_a_connection_nothing_was_written(
     store: StoreStandin, client: StoreClient
 ) -> None:
-    """A refused connection is told from a lost answer."""
+    """A refused connection is distinguished from a lost answer."""
     await store.async_stop()
     with pytest.raises(StoreUnavailableError):
         await client.async_put("a", b"1", expect=ABSENT)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""The router's packages import only from the rooms below them."""
+"""Tests that the router's packages import only from lower layers."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     "keyranges": {"fleet", "permits", "router"},
     "permits": {"discovery", "keyranges", "platform", "router"},
 }
-"""Packages that each one must not import: those above it or beside it."""
+"""Packages that a package must not import: those of the same or a higher layer."""
 
 
 def imported_packages(path: Path) -> set[str]:
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("package", sorted(FORBIDDEN_BY_PACKAGE))
 def test_package_imports_nothing_above_it(package: str) -> None:
-    """A cycle between packages makes each of them unreadable without the other."""
+    """Guards against import cycles between packages."""
     found = {
         f"{path.relative_to(ROOT)} imports {name}"
         for path in sorted((ROOT / package).rglob("*.py"))
