--- a/spec/__main__.py
+++ b/spec/__main__.py
@@ -1,4 +1,4 @@
-"""Check every model; the exit code is 1 if one is violated or not swept whole."""
+"""Check every model; the exit code is 1 if one is violated or not checked fully."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def main() -> int:
-    """Check, print a line for each model, and return the exit code."""
+    """Check and print every model; return the exit code."""
     results = []
     for case in all_cases():
         result = check(case)
--- a/spec/cases.py
+++ b/spec/cases.py
@@ -33,7 +33,7 @@
 
 
 def all_cases() -> list[ModelCase]:
-    """Return every model, with the rules as they are."""
+    """Return every model with all rules in place."""
     return [
         _fenced("core", CORE, "takeover by the store, move of a lost target"),
         _fenced("outage", OUTAGE, "takeover without the store, late grants"),
@@ -60,15 +60,15 @@
         ),
         ModelCase(
             protocol=cold_permits("cold permits", ColdWeakness()),
-            covers="three issuers apart, each begins anew at any time",
+            covers="three separated issuers, each may restart at any time",
         ),
         ModelCase(
             protocol=evacuated_zone("evacuated zone", EvacuationWeakness()),
-            covers="late news by store and neighbour, a restored store",
+            covers="late updates from store and neighbour, a restored store",
         ),
         ModelCase(
             protocol=shared_limit("shares", ShareWeakness()),
-            covers="three processes, each restarts or is cut off at any time",
+            covers="three processes, each may restart or be cut off at any time",
         ),
     ]
 
--- a/spec/check.py
+++ b/spec/check.py
@@ -1,4 +1,4 @@
-"""Checking one model with minicheck."""
+"""Checks of a model with minicheck."""
 
 from __future__ import annotations
 
@@ -12,38 +12,38 @@
 from spec.model_result import ModelResult
 
 MAX_STATES: Final = 1_000_000
-"""States after which a sweep is given up, and reported as partial."""
+"""Maximum number of states to visit; a larger check is reported as partial."""
 
 
 def check(case: ModelCase, max_states: int = MAX_STATES) -> ModelResult:
-    """Visit every state of a model."""
+    """Check all invariants in every reachable state of a model."""
     started = time.process_time()
     protocol: Protocol = case.protocol
-    found = check_safety(protocol, max_states=max_states)
+    report = check_safety(protocol, max_states=max_states)
     return ModelResult(
         name=protocol.name,
         covers=case.covers,
-        states=found["reachable_states"],
+        states=report["reachable_states"],
         seconds=time.process_time() - started,
-        whole=found["exhaustive"],
-        invariants=tuple(found["properties"]),
+        is_exhaustive=report["exhaustive"],
+        invariants=tuple(report["properties"]),
         traces_by_invariant={
             name: [step["label"] for step in verdict["counterexample"][1:]]
-            for name, verdict in found["properties"].items()
+            for name, verdict in report["properties"].items()
             if verdict["counterexample"] is not None
         },
     )
 
 
 def refute(case: ModelCase, invariant: str) -> ModelResult:
-    """Look for the shortest trace to a violation of one invariant, then stop."""
+    """Search for the shortest trace to a violation of one invariant."""
     protocol: Protocol = case.protocol
-    broken: list[bool] = []
+    violations: list[bool] = []
 
     def steps(state: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
-        """Return the steps of a state, none once a violation was reached."""
-        if broken or not protocol.invariants[invariant](protocol.d(state)):
-            broken.append(True)
+        """Return the steps from a state, none after a violation was reached."""
+        if violations or not protocol.invariants[invariant](protocol.d(state)):
+            violations.append(True)
             return []
         return list(protocol.transitions(state))
 
--- a/spec/model_case.py
+++ b/spec/model_case.py
@@ -1,4 +1,4 @@
-"""A model to check, with what it covers."""
+"""A model to check and a description of what it covers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ModelCase:
-    """`covers` says in a few words what the model lets happen."""
+    """A model; `covers` briefly describes the events that it includes."""
 
     protocol: Protocol
     covers: str
--- a/spec/model_result.py
+++ b/spec/model_result.py
@@ -1,4 +1,4 @@
-"""What the check of one model found."""
+"""Result of the check of a model."""
 
 from __future__ import annotations
 
@@ -7,28 +7,28 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ModelResult:
-    """`traces_by_invariant` has the shortest trace to each violated invariant.
+    """Result of a check, with the shortest trace to each violated invariant.
 
-    `seconds` are of this process's CPU time. `whole` is False when the sweep stopped
-    before every state was seen; nothing is proved then.
+    `seconds` is CPU time of this process. `is_exhaustive` is False if the check stopped
+    before it had visited every state; it then proves nothing.
     """
 
     name: str
     covers: str
     states: int
     seconds: float
-    whole: bool
+    is_exhaustive: bool
     invariants: tuple[str, ...]
     traces_by_invariant: dict[str, list[str]] = field(default_factory=dict)
 
     @property
     def holds(self) -> bool:
         """Return whether every invariant holds in every state."""
-        return self.whole and not self.traces_by_invariant
+        return self.is_exhaustive and not self.traces_by_invariant
 
     @property
     def verdict(self) -> str:
-        """Return the verdict in a word or two."""
+        """Return a short verdict."""
         if self.traces_by_invariant:
             return "VIOLATED"
-        return "holds" if self.whole else "PARTIAL SWEEP"
+        return "holds" if self.is_exhaustive else "PARTIAL SWEEP"
--- a/spec/ranges/__init__.py
+++ b/spec/ranges/__init__.py
@@ -1,1 +1,1 @@
-"""Model of the ownership of key ranges under a lease and votes."""
+"""Model of key range ownership with a lease and votes."""
--- a/spec/ranges/model.py
+++ b/spec/ranges/model.py
@@ -1,4 +1,4 @@
-"""Ownership of a key range as a protocol that minicheck can check."""
+"""Key range ownership as a protocol for minicheck."""
 
 from __future__ import annotations
 
@@ -7,19 +7,25 @@
 
 from minicheck import Protocol
 
-from spec.ranges.targets import deliver, grant_to_t, release_by_t, restart_t, take
+from spec.ranges.targets import (
+    acquire_range,
+    deliver_late_grant,
+    grant_to_t,
+    release_by_t,
+    restart_t,
+)
 from spec.ranges.weakness import RangeWeakness
 from spec.ranges.world import (
-    FENCES_A_TERM,
+    FENCES_PER_TERM,
     FIRST,
     HOLD,
-    KEPT,
     LEASE,
     RECORDED,
     RELEASED,
     SECOND,
     T_AFTER,
     T_BEFORE,
+    UNRECORDED,
     VOTE,
     WAIT,
     RangeWorld,
@@ -30,7 +36,7 @@
 
 
 def key_range(name: str, weakness: RangeWeakness) -> Protocol:
-    """Return the protocol, weakened or not."""
+    """Return the protocol with the given weakness."""
     return Protocol(
         name=name,
         candidate=False,
@@ -47,12 +53,12 @@
 
 
 def fences_rise(state: Mapping[str, Any]) -> bool:
-    """Return whether the range was only ever passed on under higher fences."""
+    """Return whether every new holder got the range under a higher fence."""
     return not state["is_fence_reused"]
 
 
 def _steps(weakness: RangeWeakness, world: RangeWorld) -> Iterator[Step]:
-    """Return every step that may come next; none follows a violation."""
+    """Yield every possible next step; none after a violation."""
     if (world.held_by_t and world.held_by_u) or world.is_fence_reused:
         return
     yield "tick", _tick(weakness, world)
@@ -62,7 +68,7 @@
         yield "T restarts", restart_t(weakness, world)
     if world.late_grant:
         hold = HOLD if weakness.delivers_given_up_calls else world.late_grant
-        yield "late grant", deliver(world, hold)
+        yield "late grant", deliver_late_grant(world, hold)
     yield from _lease_steps(weakness, world)
     if _first_assigns(world):
         yield from _assigner_steps(weakness, world, FIRST)
@@ -71,13 +77,13 @@
 
 
 def _first_assigns(world: RangeWorld) -> bool:
-    """Return whether the first instance acts on its lease."""
+    """Return whether the first instance currently acts as the assigner."""
     has_lease = world.first_lease > 0 or world.first_vote > 0
     return has_lease and not world.is_first_paused
 
 
 def _tick(weakness: RangeWeakness, world: RangeWorld) -> RangeWorld:
-    """Let time pass everywhere."""
+    """Advance all clocks by one tick."""
     stops = weakness.clock_stops_in_pause and world.is_first_paused
     waited = min(world.second_waited + 1, WAIT)
     return world._replace(
@@ -85,8 +91,8 @@
         first_vote=world.first_vote if stops else max(world.first_vote - 1, 0),
         second_vote=max(world.second_vote - 1, 0),
         second_waited=waited,
-        first_unsure=max(world.first_unsure - 1, 0),
-        second_unsure=max(world.second_unsure - 1, 0),
+        first_possible_hold=max(world.first_possible_hold - 1, 0),
+        second_possible_hold=max(world.second_possible_hold - 1, 0),
         held_by_t=max(world.held_by_t - 1, 0),
         held_by_u=max(world.held_by_u - 1, 0),
         late_grant=world.late_grant
@@ -96,7 +102,7 @@
 
 
 def _lease_steps(weakness: RangeWeakness, world: RangeWorld) -> Iterator[Step]:
-    """Return renewals, votes and the takeover."""
+    """Yield lease renewals, votes and the takeover."""
     if world.second_leads:
         return
     if _first_assigns(world) and world.is_store_up:
@@ -111,110 +117,126 @@
         yield "resign", world._replace(is_first_resigned=True)
     if is_lapsed and weakness.lapsed_lease_counts_again:
         yield "late vote", world._replace(first_vote=VOTE)
-    is_bound = world.second_vote > 0 and not weakness.ignores_own_vote
-    is_run_out = world.second_waited >= WAIT and not is_bound
-    if world.is_store_up and (is_run_out or world.is_first_resigned):
-        unsure = 0 if weakness.forgets_earlier_grants else HOLD
+    is_bound_by_vote = world.second_vote > 0 and not weakness.ignores_own_vote
+    has_wait_ended = world.second_waited >= WAIT and not is_bound_by_vote
+    if world.is_store_up and (has_wait_ended or world.is_first_resigned):
+        possible_hold = 0 if weakness.forgets_earlier_grants else HOLD
         yield (
             "take over",
             world._replace(
                 second_leads=True,
                 term=2,
-                second_stage=RECORDED if world.is_move_recorded else KEPT,
-                second_unsure=unsure,
+                second_stage=RECORDED if world.is_move_recorded else UNRECORDED,
+                second_possible_hold=possible_hold,
             ),
         )
 
 
 def _assigner_steps(
-    weakness: RangeWeakness, world: RangeWorld, who: int
+    weakness: RangeWeakness, world: RangeWorld, assigner: int
 ) -> Iterator[Step]:
-    """Return what an instance with the lease may do next."""
-    stage = world.first_stage if who == FIRST else world.second_stage
-    unsure = world.first_unsure if who == FIRST else world.second_unsure
-    if stage == KEPT:
-        yield from _keep(weakness, world, who)
+    """Yield the next steps of an instance that is the assigner."""
+    stage = world.first_stage if assigner == FIRST else world.second_stage
+    possible_hold = (
+        world.first_possible_hold if assigner == FIRST else world.second_possible_hold
+    )
+    if stage == UNRECORDED:
+        yield from _steps_before_move(weakness, world, assigner)
     elif stage == RECORDED:
-        yield from _take_back(weakness, world, who, unsure)
+        yield from _release_steps(weakness, world, assigner, possible_hold)
     else:
-        fence = _move_fence(who)
-        yield "grant U", take(world, U, fence)._replace(held_by_u=HOLD)
+        fence = _move_fence(assigner)
+        yield "grant U", acquire_range(world, U, fence)._replace(held_by_u=HOLD)
 
 
-def _keep(weakness: RangeWeakness, world: RangeWorld, who: int) -> Iterator[Step]:
-    """Return renewals of T's grant, and the record of the move.
+def _steps_before_move(
+    weakness: RangeWeakness, world: RangeWorld, assigner: int
+) -> Iterator[Step]:
+    """Yield renewals of T's grant and the recording of the move.
 
-    Only the first instance's grants are lost on their way: their fence is the lowest.
+    Only grants of the first instance may be delayed, because their fence is the lowest.
     """
-    sure = _with(world, who, unsure=HOLD)
-    fence = _fence_for_t(weakness, world, who)
-    if fence < _move_fence(who):
-        yield "grant T", _with_fence(grant_to_t(sure, fence), who, fence)
-        if who == FIRST:
-            late = sure._replace(late_grant=HOLD, late_fence=fence)
+    granted = _with_assigner_state(world, assigner, possible_hold=HOLD)
+    fence = _fence_for_t(weakness, world, assigner)
+    if fence < _move_fence(assigner):
+        yield "grant T", _with_fence(grant_to_t(granted, fence), assigner, fence)
+        if assigner == FIRST:
+            delayed = granted._replace(late_grant=HOLD, late_fence=fence)
             yield (
                 "grant T, late",
-                _with_fence(late, who, fence)._replace(is_first_connected=False),
+                _with_fence(delayed, assigner, fence)._replace(
+                    is_first_connected=False
+                ),
             )
     if world.is_store_up:
         yield (
             "record",
-            _with(world, who, stage=RECORDED)._replace(is_move_recorded=True),
+            _with_assigner_state(world, assigner, stage=RECORDED)._replace(
+                is_move_recorded=True
+            ),
         )
     elif weakness.grants_before_recording:
-        yield "move unrecorded", _with(world, who, stage=RECORDED)
+        yield "move unrecorded", _with_assigner_state(world, assigner, stage=RECORDED)
 
 
-def _take_back(
-    weakness: RangeWeakness, world: RangeWorld, who: int, unsure: int
+def _release_steps(
+    weakness: RangeWeakness, world: RangeWorld, assigner: int, possible_hold: int
 ) -> Iterator[Step]:
-    """Return the release and the wait for the end of T's grants."""
-    fence = 0 if weakness.release_keeps_fence else _move_fence(who)
+    """Yield the release and the end of the wait for T's grants."""
+    fence = 0 if weakness.release_keeps_fence else _move_fence(assigner)
     released = release_by_t(world, fence)
-    yield "release", _with(released, who, stage=RELEASED)
+    yield "release", _with_assigner_state(released, assigner, stage=RELEASED)
     yield "release, answer lost", released
-    if unsure == 0 or weakness.skips_wait:
-        yield "wait over", _with(world, who, stage=RELEASED)
+    if possible_hold == 0 or weakness.skips_wait:
+        yield "wait over", _with_assigner_state(world, assigner, stage=RELEASED)
     if world.t_life == T_AFTER and weakness.new_life_frees_keys:
-        yield "restart known", _with(world, who, stage=RELEASED)
+        yield "restart known", _with_assigner_state(world, assigner, stage=RELEASED)
 
 
-def _move_fence(who: int) -> int:
-    """Return the fence of an assigner's release and of its grant to U."""
-    return FENCES_A_TERM * (who + 1)
+def _move_fence(assigner: int) -> int:
+    """Return the fence of an assigner's release and its grant to U."""
+    return FENCES_PER_TERM * (assigner + 1)
 
 
-def _fence_for_t(weakness: RangeWeakness, world: RangeWorld, who: int) -> int:
-    """Return the fence under which an assigner would grant T now."""
-    if who == FIRST:
+def _fence_for_t(weakness: RangeWeakness, world: RangeWorld, assigner: int) -> int:
+    """Return the fence that an assigner would use for a grant to T now."""
+    if assigner == FIRST:
         fence, is_connected = world.first_fence, world.is_first_connected
     else:
         fence, is_connected = world.second_fence, world.is_second_connected
-        if weakness.successor_renews_recorded_fence and fence == FENCES_A_TERM:
+        if weakness.successor_renews_recorded_fence and fence == FENCES_PER_TERM:
             return 1
     if is_connected or weakness.fence_outlives_connection:
         return fence
     return fence + 1
 
 
-def _with_fence(world: RangeWorld, who: int, fence: int) -> RangeWorld:
-    """Return the world after a grant to T, which broke its connection if refused."""
+def _with_fence(world: RangeWorld, assigner: int, fence: int) -> RangeWorld:
+    """Return the world after a grant to T; a refusal closes the connection."""
     is_connected = fence >= world.fence_seen_by_t
-    if who == FIRST:
+    if assigner == FIRST:
         return world._replace(first_fence=fence, is_first_connected=is_connected)
     return world._replace(second_fence=fence, is_second_connected=is_connected)
 
 
-def _with(
-    world: RangeWorld, who: int, *, stage: int | None = None, unsure: int | None = None
+def _with_assigner_state(
+    world: RangeWorld,
+    assigner: int,
+    *,
+    stage: int | None = None,
+    possible_hold: int | None = None,
 ) -> RangeWorld:
-    """Return the world with an assigner's own knowledge changed."""
-    if who == FIRST:
+    """Return the world with an assigner's own state changed."""
+    if assigner == FIRST:
         return world._replace(
             first_stage=world.first_stage if stage is None else stage,
-            first_unsure=world.first_unsure if unsure is None else unsure,
+            first_possible_hold=world.first_possible_hold
+            if possible_hold is None
+            else possible_hold,
         )
     return world._replace(
         second_stage=world.second_stage if stage is None else stage,
-        second_unsure=world.second_unsure if unsure is None else unsure,
+        second_possible_hold=world.second_possible_hold
+        if possible_hold is None
+        else possible_hold,
     )
--- a/spec/ranges/weakness.py
+++ b/spec/ranges/weakness.py
@@ -1,4 +1,4 @@
-"""Rules that a model may leave out."""
+"""Rules of the protocol that the model can omit."""
 
 from __future__ import annotations
 
@@ -7,40 +7,40 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RangeWeakness:
-    """Each flag drops one rule; the model must then find a violation."""
+    """Each flag omits one rule, and the checker must then find a violation."""
 
     grants_before_recording: bool = False
-    """The former owner is not in the record while it may hold the keys."""
+    """Keys move before the record names the former owner, which may still hold them."""
 
     skips_wait: bool = False
-    """Keys are granted on although a release had no answer and grants still run."""
+    """Keys are granted to U after an unanswered release while T's grants still run."""
 
     clock_stops_in_pause: bool = False
-    """The lease is counted on a clock that stands still while an instance is paused."""
+    """The lease is timed by a clock that stops while the instance is paused."""
 
     ignores_own_vote: bool = False
-    """A member takes the lease over though it voted not to."""
+    """An instance takes over the lease although it voted not to."""
 
     forgets_earlier_grants: bool = False
-    """A successor does not count what its predecessor may have granted."""
+    """A successor ignores grants that its predecessor may have sent."""
 
     release_keeps_fence: bool = False
-    """A release does not raise the fence below which a target refuses late grants."""
+    """A release does not raise the target's fence, so late grants aren't refused."""
 
     delivers_given_up_calls: bool = False
-    """A grant that was given up may still arrive, and counts its time from then."""
+    """An abandoned grant may still arrive, and its time counts from the arrival."""
 
     fence_outlives_connection: bool = False
-    """A fence is sent again over a new connection, which may lead to a new life."""
+    """A fence is reused on a new connection, which may lead to a new life."""
 
     call_reaches_next_life: bool = False
-    """A call that T had not carried out when it ended reaches its next life."""
+    """A call that T had not executed before its restart reaches its next life."""
 
     successor_renews_recorded_fence: bool = False
-    """A successor renews under the fence that it finds in the record."""
+    """A successor renews grants with the fence from the record."""
 
     new_life_frees_keys: bool = False
-    """A known restart of T counts as the end of all that was sent to its name."""
+    """A known restart of T counts as the end of all calls sent to it."""
 
     lapsed_lease_counts_again: bool = False
-    """A holder that told others of its lease's end goes on by a late vote."""
+    """A holder that announced the end of its lease continues after a late vote."""
--- a/spec/ranges/world.py
+++ b/spec/ranges/world.py
@@ -1,4 +1,4 @@
-"""State of the model; times are ticks that are left."""
+"""State of the model; all times are remaining ticks."""
 
 from __future__ import annotations
 
@@ -12,70 +12,70 @@
 FIRST: Final = 0
 SECOND: Final = 1
 
-KEPT: Final = 0
+UNRECORDED: Final = 0
 RECORDED: Final = 1
 RELEASED: Final = 2
-"""Stages of the one move from target T to target U, as its assigner knows them."""
+"""Stages of the move from target T to target U, as known to an assigner."""
 
-FENCES_A_TERM: Final = 4
-"""Fences of one assigner: the last is that of the move, the others are for T."""
+FENCES_PER_TERM: Final = 4
+"""Fences of one assigner: the last one is for the move, the others are for T."""
 
 T_BEFORE: Final = 0
 T_AFTER: Final = 1
 U: Final = 2
-"""Who may hold the range: target T before and after its restart, or target U."""
+"""Possible holders of the range: T before and after its restart, and U."""
 
 
 class RangeWorld(NamedTuple):
-    """Two instances, two targets, one range that may move from T to U once.
+    """Two instances, two targets and one range that may move from T to U once.
 
-    T may start again once, at any time, under its name and at its address.
+    T may restart once, at any time, under the same name and address.
     """
 
     is_store_up: bool = True
     term: int = 1
     is_first_paused: bool = False
     first_lease: int = LEASE
-    """How long the first instance believes in its lease."""
+    """Time for which the first instance's lease is valid on its own clock."""
 
     first_vote: int = 0
-    """How long the first instance counts on the second one's vote."""
+    """Time for which the first instance relies on the second one's vote."""
 
     is_first_resigned: bool = False
-    """Whether the first instance told the second one that its lease has ended."""
+    """Whether the first instance announced the end of its lease to the second one."""
 
     second_vote: int = 0
     second_waited: int = 0
     second_leads: bool = False
     is_move_recorded: bool = False
-    first_stage: int = KEPT
-    second_stage: int = KEPT
-    first_unsure: int = HOLD
-    second_unsure: int = 0
-    """How long each assigner believes that T may hold keys granted to it."""
+    first_stage: int = UNRECORDED
+    second_stage: int = UNRECORDED
+    first_possible_hold: int = HOLD
+    second_possible_hold: int = 0
+    """Time for which T may hold the range, as known to each assigner."""
 
     first_fence: int = 1
-    second_fence: int = FENCES_A_TERM
-    """Last fence for T that each assigner took."""
+    second_fence: int = FENCES_PER_TERM
+    """Last fence that each assigner used for T."""
 
     is_first_connected: bool = True
     is_second_connected: bool = False
-    """Whether the connection over which that fence was sent is open. It leads to the
-    present life of T; a restart breaks it, and so does a call without an answer."""
+    """Whether the connection used for that fence is open. It belongs to T's current
+    life and is closed by a restart or an unanswered call."""
 
     t_life: int = T_BEFORE
     held_by_t: int = HOLD
-    """Time that T's present life holds the range for; an earlier one holds nothing."""
+    """Time for which T's current life holds the range; an earlier one holds nothing."""
 
     held_by_u: int = 0
     fence_seen_by_t: int = 1
     late_grant: int = 0
-    """Time that a grant to T has left which has arrived but is not carried out yet."""
+    """Remaining time of a grant that reached T but has not been executed yet."""
 
     late_fence: int = 0
-    top_fence: int = 1
-    top_holder: int = T_BEFORE
-    """Highest fence under which anyone took the range, and who that was."""
+    highest_fence: int = 1
+    highest_fence_holder: int = T_BEFORE
+    """Highest fence under which the range was acquired, and the holder that did so."""
 
     is_fence_reused: bool = False
-    """Whether anyone took the range under a fence not above all that others had."""
+    """Whether a holder acquired the range without a fence above all others' fences."""
--- a/spec/shares/__init__.py
+++ b/spec/shares/__init__.py
@@ -1,1 +1,1 @@
-"""Model of a limit of the fleet that its instances share."""
+"""Model of a limit that all instances of the fleet share."""
--- a/spec/shares/model.py
+++ b/spec/shares/model.py
@@ -1,4 +1,4 @@
-"""Processes that share a limit, are told of each other by a holder, and restart."""
+"""Shared limit of processes that learn their number from a holder and may restart."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from spec.shares.world import (
     LIMIT,
     MAX_GAP,
-    NOT_HEARD,
-    SETTLED,
-    TELL_TIME,
+    NEVER_HEARD,
+    REPORT_DELAY,
+    SETTLE_TIME,
     Process,
     ShareWorld,
 )
@@ -22,7 +22,7 @@
 
 
 def shared_limit(name: str, weakness: ShareWeakness) -> Protocol:
-    """Return the protocol, weakened or not."""
+    """Return the protocol with the given weakness."""
     return Protocol(
         name=name,
         candidate=False,
@@ -34,83 +34,97 @@
 
 
 def within_limit(state: Mapping[str, Any]) -> bool:
-    """Return whether no more was spent in the last window than the limit."""
+    """Return whether all processes spent at most the limit in the last window."""
     spent: tuple[int, ...] = state["spent"]
     return sum(spent) <= LIMIT
 
 
 def _steps(weakness: ShareWeakness, world: ShareWorld) -> Iterator[Step]:
-    """Return every step that may come next; none follows a violation."""
+    """Yield every possible next step; none after a violation."""
     if sum(world.spent) > LIMIT:
         return
     yield "tick", _tick(weakness, world)
     for number, process in enumerate(world.processes):
         if process != Process():
-            yield f"{number} restarts", _with(world, number, Process())
+            yield f"{number} restarts", _with_process(world, number, Process())
         linked = process._replace(is_linked=not process.is_linked)
         verb = "linked" if linked.is_linked else "cut off"
-        yield f"{number} {verb}", _with(world, number, linked)
-        left = _share(weakness, process) - sum(process.spent)
-        if left > 0:
-            yield f"{number} spends", _spend(world, number, left)
+        yield f"{number} {verb}", _with_process(world, number, linked)
+        remaining = _share(weakness, process) - sum(process.spent)
+        if remaining > 0:
+            yield f"{number} spends", _spend(world, number, remaining)
 
 
 def _share(weakness: ShareWeakness, process: Process) -> int:
-    """Return what a process may spend within a window."""
-    if weakness.spends_at_once:
-        settled = 0
+    """Return the amount that a process may spend per window."""
+    if weakness.spends_immediately:
+        settle_time = 0
     elif weakness.settles_too_soon:
-        settled = SETTLED - TELL_TIME - 1
+        settle_time = SETTLE_TIME - REPORT_DELAY - 1
     else:
-        settled = SETTLED
-    is_cut_off = process.gap > MAX_GAP and not weakness.spends_while_cut_off
-    if is_cut_off or process.touch < settled or not process.told:
+        settle_time = SETTLE_TIME
+    is_cut_off = process.silent_ticks > MAX_GAP and not weakness.spends_while_cut_off
+    if is_cut_off or process.connected_ticks < settle_time or not process.member_count:
         return 0
-    return LIMIT // process.told
+    return LIMIT // process.member_count
 
 
 def _tick(weakness: ShareWeakness, world: ShareWorld) -> ShareWorld:
-    """Let time pass; the holder counts, and tells those that it hears."""
-    counted_gap = 0 if weakness.leaves_out_lost else MAX_GAP
-    processes = [_older(weakness, process) for process in world.processes]
-    members = sum(process.gap <= counted_gap for process in processes)
+    """Advance time by one tick; the holder reports its count to connected processes."""
+    max_counted_silence = 0 if weakness.ignores_cut_off else MAX_GAP
+    processes = [_advance(weakness, process) for process in world.processes]
+    members = sum(process.silent_ticks <= max_counted_silence for process in processes)
     return ShareWorld(
-        processes=_sorted(_tell(weakness, process, members) for process in processes),
+        processes=_sorted(
+            _report_count(weakness, process, members) for process in processes
+        ),
         spent=(0, *world.spent[:-1]),
     )
 
 
-def _older(weakness: ShareWeakness, process: Process) -> Process:
-    """Return a process one tick later, having heard the holder if it is linked."""
-    gap = 0 if process.is_linked else min(process.gap + 1, NOT_HEARD)
-    was_in_touch = process.gap <= MAX_GAP or weakness.spends_while_cut_off
-    touch = min(process.touch + 1, SETTLED) if was_in_touch else 0
-    return process._replace(gap=gap, touch=touch, spent=(0, *process.spent[:-1]))
+def _advance(weakness: ShareWeakness, process: Process) -> Process:
+    """Return a process one tick later; a linked one has heard from the holder."""
+    silent_ticks = (
+        0 if process.is_linked else min(process.silent_ticks + 1, NEVER_HEARD)
+    )
+    was_connected = process.silent_ticks <= MAX_GAP or weakness.spends_while_cut_off
+    connected_ticks = (
+        min(process.connected_ticks + 1, SETTLE_TIME) if was_connected else 0
+    )
+    return process._replace(
+        silent_ticks=silent_ticks,
+        connected_ticks=connected_ticks,
+        spent=(0, *process.spent[:-1]),
+    )
 
 
-def _tell(weakness: ShareWeakness, process: Process, members: int) -> Process:
-    """Return a process that was told a count, if it hears the holder."""
-    if process.gap:
+def _report_count(weakness: ShareWeakness, process: Process, members: int) -> Process:
+    """Return a process after a report of the count, if it is linked to the holder."""
+    if process.silent_ticks:
         return process
-    greatest = members if weakness.believes_newest else max(process.told, members)
-    return process._replace(told=greatest)
+    member_count = (
+        members if weakness.uses_newest_count else max(process.member_count, members)
+    )
+    return process._replace(member_count=member_count)
 
 
 def _spend(world: ShareWorld, number: int, amount: int) -> ShareWorld:
-    """Have a process spend what is left of its share."""
+    """Let a process spend an amount of its share."""
     process = world.processes[number]
     now, *before = process.spent
     spender = process._replace(spent=(now + amount, *before))
     all_now, *all_before = world.spent
-    return _with(world, number, spender)._replace(spent=(all_now + amount, *all_before))
+    return _with_process(world, number, spender)._replace(
+        spent=(all_now + amount, *all_before)
+    )
 
 
-def _with(world: ShareWorld, number: int, process: Process) -> ShareWorld:
-    """Return the world with another process."""
+def _with_process(world: ShareWorld, number: int, process: Process) -> ShareWorld:
+    """Return the world with one process replaced."""
     others = (*world.processes[:number], *world.processes[number + 1 :])
     return world._replace(processes=_sorted((process, *others)))
 
 
 def _sorted(processes: Iterable[Process]) -> tuple[Process, ...]:
-    """Return processes in an order that makes worlds equal but for names the same."""
+    """Sort processes, so that worlds that differ only in their order are equal."""
     return tuple(sorted(processes))
--- a/spec/shares/weakness.py
+++ b/spec/shares/weakness.py
@@ -1,4 +1,4 @@
-"""Rules that the model may leave out."""
+"""Rules of the protocol that the model can omit."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ShareWeakness:
-    """Each flag drops one rule; the model must then find a violation."""
+    """Each flag omits one rule, and the checker must then find a violation."""
 
-    spends_at_once: bool = False
-    """A process that has just started takes a share as soon as it was told a count."""
+    spends_immediately: bool = False
+    """A process spends as soon as it has received a count after its start."""
 
     settles_too_soon: bool = False
-    """A process does not wait until what others spent has left the window."""
+    """A process does not wait until the others' spending has left the window."""
 
     spends_while_cut_off: bool = False
-    """A process that hears no holder keeps its share."""
+    """A process without contact to a holder keeps its share."""
 
-    believes_newest: bool = False
-    """A process goes by the newest count instead of the greatest."""
+    uses_newest_count: bool = False
+    """A process uses the newest count instead of the largest one."""
 
-    leaves_out_lost: bool = False
-    """The holder does not count whoever is cut off but may still spend."""
+    ignores_cut_off: bool = False
+    """The holder does not count processes that are cut off but may still spend."""
--- a/spec/shares/world.py
+++ b/spec/shares/world.py
@@ -1,4 +1,4 @@
-"""What the model of shares keeps."""
+"""State of the model of shares."""
 
 from __future__ import annotations
 
@@ -6,38 +6,38 @@
 
 PROCESSES: Final = 3
 WINDOW: Final = 2
-"""Ticks in the window of the limit."""
+"""Ticks per window of the limit."""
 
 MAX_GAP: Final = 1
-"""Ticks without a holder after which a process is cut off."""
+"""Ticks without contact to a holder after which a process is cut off."""
 
-TELL_TIME: Final = MAX_GAP + 1
-SETTLED: Final = WINDOW + TELL_TIME
+REPORT_DELAY: Final = MAX_GAP + 1
+SETTLE_TIME: Final = WINDOW + REPORT_DELAY
 LIMIT: Final = 6
-"""What all processes together may spend within a window."""
+"""Amount that all processes together may spend per window."""
 
-NOT_HEARD: Final = MAX_GAP + 1
+NEVER_HEARD: Final = MAX_GAP + 1
 
 
 class Process(NamedTuple):
     """One process of an instance."""
 
     is_linked: bool = False
-    gap: int = NOT_HEARD
-    """Ticks since it heard a holder."""
+    silent_ticks: int = NEVER_HEARD
+    """Ticks since the last contact to a holder."""
 
-    touch: int = 0
-    """Ticks for which it has been in touch."""
+    connected_ticks: int = 0
+    """Ticks for which contact to a holder has lasted."""
 
-    told: int = 0
-    """Count of members that it goes by."""
+    member_count: int = 0
+    """Number of processes by which it divides the limit; 0 before the first report."""
 
     spent: tuple[int, ...] = (0,) * WINDOW
-    """What it spent in this tick and the ones before it."""
+    """Amounts spent in the current and the previous ticks."""
 
 
 class ShareWorld(NamedTuple):
-    """All processes, and what they spent together, those that ended included."""
+    """All processes, and their total spending including that of ended processes."""
 
     processes: tuple[Process, ...] = (Process(),) * PROCESSES
     spent: tuple[int, ...] = (0,) * WINDOW
--- a/spec/times.py
+++ b/spec/times.py
@@ -1,7 +1,7 @@
-"""Lengths of time in the models, in ticks.
+"""Durations in the models, in ticks.
 
-Two ticks are the shortest lengths that show a limit that is extended after another
-limit began: with one tick, everything sent in one tick ends together.
+Limits take two ticks, the shortest duration with which a limit can be extended after
+another one has started: with one tick, all limits set in a tick would end together.
 """
 
 from __future__ import annotations
@@ -13,19 +13,20 @@
 PREDECESSOR_WAIT: Final = HOLDER_LIMIT + GRANT_TTL
 
 LONG_ENDED: Final = 1 - HOLDER_LIMIT
-"""Countdowns go on below zero to here: `-n` ended `n` ticks before the last tick."""
+"""Lowest value of a countdown that continues below zero: `-n` means that it ended `n`
+ticks before the last tick."""
 
 NOT_BEGUN: Final = PREDECESSOR_WAIT + 1
-"""Value of a wait whose begin is still open."""
+"""Value of a wait that has not started."""
 
 
 def down(ticks: int) -> int:
-    """Return a limit one tick later; 0 is the end."""
+    """Return a countdown one tick later; it stops at 0."""
     return ticks - 1 if ticks > 0 else 0
 
 
 def down_past_end(ticks: int) -> int:
-    """Return a wait one tick later, counting how long ago it ended."""
+    """Return a wait one tick later; it continues below zero after its end."""
     if ticks in (NOT_BEGUN, LONG_ENDED):
         return ticks
     return ticks - 1
--- a/tests/platform/test_arbitrary_input.py
+++ b/tests/platform/test_arbitrary_input.py
@@ -229,7 +229,7 @@
 
 @pytest.mark.parametrize("deadline", ["nan", "inf", "-inf"])
 def test_deadline_that_is_not_finite_is_an_error(deadline: str) -> None:
-    """Guards against an internal error for a deadline that parses as nan or infinite."""
+    """Guards against an internal error for a deadline that parses as non-finite."""
     with pytest.raises(ValueError, match="not a time"):
         decode_request_head({"Swiftpin-Deadline-Milliseconds": deadline})
 
--- a/tests/spec/test_cooperative_weaknesses.py
+++ b/tests/spec/test_cooperative_weaknesses.py
@@ -1,4 +1,4 @@
-"""Each weakening of the rule `cooperative` is noticed by its model."""
+"""Tests that the cooperative model detects the omission of any rule."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @pytest.mark.parametrize("flag", [item.name for item in fields(CooperativeWeakness)])
 def test_weakening_is_found(flag: str) -> None:
-    """The model has a trace to two instances that may send."""
+    """Without the rule, two instances may send at the same time."""
     protocol = cooperative_group(flag, CooperativeWeakness(**{flag: True}))
 
     result = refute(ModelCase(protocol=protocol, covers=""), "one_sender")
--- a/tests/spec/test_fenced_weaknesses.py
+++ b/tests/spec/test_fenced_weaknesses.py
@@ -1,4 +1,4 @@
-"""Each weakening of a rule is noticed by a model of a fenced group."""
+"""Tests that the models of a fenced group detect the omission of any rule."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 def weakened(weakness: Weakness) -> str:
-    """Return the name of what is left out."""
+    """Return the names of the omitted rules."""
     flags = (item.name for item in fields(weakness))
     return "+".join(name for name in flags if getattr(weakness, name))
 
@@ -64,7 +64,7 @@
     ],
 )
 def test_weakening_is_found(scope: Scope, weakness: Weakness, invariant: str) -> None:
-    """The model has a trace to the invariant that the weakening breaks."""
+    """Without the rule, the model violates the invariant."""
     protocol = fenced_group(weakened(weakness), scope, weakness)
 
     result = refute(ModelCase(protocol=protocol, covers=""), invariant)
@@ -73,7 +73,7 @@
 
 
 def test_every_weakening_is_tried() -> None:
-    """No flag is without a case."""
+    """Every weakness flag has a case."""
     tried = {weakened(weakness) for _, weakness, _ in CASES}
 
     assert tried == {item.name for item in fields(Weakness)}
--- a/tests/spec/test_models.py
+++ b/tests/spec/test_models.py
@@ -1,4 +1,4 @@
-"""Every model holds, swept whole."""
+"""Tests that every model holds in all of its states."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
     "case", [pytest.param(case, id=case.protocol.name) for case in all_cases()]
 )
 def test_model_holds(case: ModelCase) -> None:
-    """No state violates an invariant, and no state was left out."""
+    """Every state is visited and none violates an invariant."""
     result = check(case)
 
-    assert result.whole
+    assert result.is_exhaustive
     assert not result.traces_by_invariant
 
 
 def test_partial_sweep_does_not_hold() -> None:
-    """A sweep that stops early proves nothing."""
+    """A check that stops early does not count as a proof."""
     result = check(all_cases()[0], max_states=100)
 
-    assert not result.whole
+    assert not result.is_exhaustive
     assert not result.holds
--- a/tests/spec/test_ranges_weaknesses.py
+++ b/tests/spec/test_ranges_weaknesses.py
@@ -1,4 +1,4 @@
-"""Each weakening of a rule is noticed by the model of key ranges."""
+"""Tests that the key range model detects the omission of any rule."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
     "fence_outlives_connection": "fences_rise",
     "successor_renews_recorded_fence": "fences_rise",
 }
-"""What a weakening breaks where that is not `one_owner`."""
+"""Violated invariant of a weakness if it is not `one_owner`."""
 
 
 @pytest.mark.parametrize("flag", [item.name for item in fields(RangeWeakness)])
 def test_weakening_is_found(flag: str) -> None:
-    """The model has a trace to two owners, or to a fence that two had."""
+    """Without the rule, the range has two owners or a fence is used twice."""
     protocol = key_range(flag, RangeWeakness(**{flag: True}))
     invariant = INVARIANTS_BY_FLAG.get(flag, "one_owner")
 
--- a/tests/spec/test_shares_weaknesses.py
+++ b/tests/spec/test_shares_weaknesses.py
@@ -1,4 +1,4 @@
-"""Each weakening of a rule is noticed by the model of shares."""
+"""Tests that the model of shares detects the omission of any rule."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @pytest.mark.parametrize("flag", [item.name for item in fields(ShareWeakness)])
 def test_weakening_lets_the_fleet_exceed_its_limit(flag: str) -> None:
-    """The model has a trace to a window in which more than the limit was spent."""
+    """Without the rule, the fleet spends more than the limit in a window."""
     protocol = shared_limit(flag, ShareWeakness(**{flag: True}))
     result = refute(ModelCase(protocol=protocol, covers=""), "within_limit")
     assert "within_limit" in result.traces_by_invariant
--- a/tests/spec/test_wide_weaknesses.py
+++ b/tests/spec/test_wide_weaknesses.py
@@ -1,4 +1,4 @@
-"""Each weakening of a rule is noticed by the model of a group of five."""
+"""Tests that the model of a group of five targets detects the omission of any rule."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @pytest.mark.parametrize("flag", [item.name for item in fields(WideWeakness)])
 def test_weakening_is_found(flag: str) -> None:
-    """The model has a trace to two targets that hold the slice."""
+    """Without the rule, two targets hold the slice."""
     protocol = wide_group(flag, WideWeakness(**{flag: True}))
 
     result = refute(ModelCase(protocol=protocol, covers=""), "one_owner")
