--- a/swiftpin/router/app.py
+++ b/swiftpin/router/app.py
@@ -48,7 +48,7 @@
 from swiftpin.router.request_sender import RequestSender
 from swiftpin.router.status_endpoints import StatusEndpoints
 
-HOUSEKEEPING: Final = 1.0
+HOUSEKEEPING_INTERVAL: Final = 1.0
 """Seconds between two rounds of closing idle connections."""
 
 
@@ -56,7 +56,7 @@
     """Wires the parts of an instance and runs its tasks."""
 
     def __init__(self, settings: InstanceSettings, logging: LoggingSetup) -> None:
-        self.stop_wanted = asyncio.Event()
+        self.stop_requested = asyncio.Event()
         self._settings = settings
         incarnation = f"{settings.name}/{os.urandom(4).hex()}"
         self._incarnation = incarnation
@@ -90,8 +90,8 @@
             rng=Random(incarnation),
             strength=settings.strength,
             first_start=settings.first_start,
-            is_holder_heard=self._is_holder_heard,
-            is_linked=self._is_linked,
+            is_holder_heard=self._is_holder_alive,
+            is_linked=self._has_live_links,
         )
         self._fleet = FleetCoordinator(
             incarnation=incarnation,
@@ -110,8 +110,8 @@
             fleet_size=self._fleet_size,
         )
         self._metrics.add_links(self._fleet.links.traffic)
-        self._lease.on_seen = self._fleet.leader.note_record
-        self._assigners = AssignerFactory(
+        self._lease.on_seen = self._fleet.known_leader.note_record
+        self._assigner_factory = AssignerFactory(
             settings=settings,
             client=self._store,
             control_http=self._clients.control,
@@ -125,9 +125,9 @@
         self._leader = Leader(
             lease=self._lease,
             configuration=self._configuration,
-            make_assigner=self._assigners.make,
+            make_assigner=self._assigner_factory.make,
         )
-        self._fleet.load.on_load = self._leader.take_load
+        self._fleet.load_reports.on_load = self._leader.handle_load_report
         self._sender = RequestSender(
             client=self._clients.targets,
             configuration=self._configuration,
@@ -150,9 +150,9 @@
             lifecycle=self._lifecycle,
             log=log,
         )
-        self._configuration.on_change = self._note_configuration
-        self._directory.on_change = self._note_targets
-        self._evacuations.on_change = self._note_targets
+        self._configuration.on_change = self._handle_configuration_change
+        self._directory.on_change = self._update_permit_targets
+        self._evacuations.on_change = self._update_permit_targets
         self._maps.on_change = self._permits.note_owners
         status = StatusEndpoints(
             started_at=suspend_aware_now(),
@@ -168,7 +168,7 @@
             on_unparsed=log.write_unparsed,
             status=status,
         )
-        self._stop = PlannedStop(
+        self._planned_stop = PlannedStop(
             lifecycle=self._lifecycle,
             lease=self._lease,
             health=self._health,
@@ -176,7 +176,7 @@
             handler=self._handler,
         )
         # The platform starts a process again that ends.
-        self._tasks = BackgroundTasks(on_failed=self.stop_wanted.set)
+        self._tasks = BackgroundTasks(on_failed=self.stop_requested.set)
 
     async def async_setup(self) -> None:
         """Listen and start all tasks."""
@@ -196,7 +196,7 @@
             self._configuration,
             self._health,
             duty=self._fleet.gossip.configuration_duty,
-            neighbours=self._fleet.gossip.holder,
+            neighbours=self._fleet.gossip.holder_view,
         )
         targets = StoreFollower(
             KIND_TARGETS,
@@ -204,7 +204,7 @@
             self._directory,
             self._health,
             duty=self._fleet.gossip.targets_duty,
-            neighbours=self._fleet.gossip.holder,
+            neighbours=self._fleet.gossip.holder_view,
         )
         self._tasks.start(configuration.async_run())
         self._tasks.start(targets.async_run())
@@ -215,18 +215,18 @@
                 self._evacuations,
                 self._health,
                 duty=self._fleet.gossip.evacuations_duty,
-                neighbours=self._fleet.gossip.holder,
+                neighbours=self._fleet.gossip.holder_view,
             )
             self._tasks.start(evacuations.async_run())
         self._tasks.start(self._lease.async_run())
         self._tasks.start(self._leader.async_run())
-        self._tasks.start(self._fleet.async_run(self._take_load))
+        self._tasks.start(self._fleet.async_run(self._collect_load_report))
         self._tasks.start(self._permits.async_run())
         self._tasks.start(self._async_housekeeping())
 
     async def async_stop(self) -> None:
         """Leave: serve what is in flight, give duties away, end in time."""
-        await self._stop.async_run(self._settings.bounds.grace)
+        await self._planned_stop.async_run(self._settings.bounds.grace)
 
     async def async_unload(self) -> None:
         """Close everything."""
@@ -243,54 +243,56 @@
             message_type="settings_reloaded", changed=settings != self._settings
         )
         self._settings = settings
-        self._assigners.settings = settings
+        self._assigner_factory.settings = settings
         self._directory.set_drain(settings.bounds.drain)
         self._evacuations.set_bound(settings.bounds.evacuation)
         self._configuration.lag.set_apply_bound(settings.bounds.apply)
         self._sender.retries.set_bounds(settings.bounds)
 
     @callback
-    def note_bad_settings(self, err: ConfigurationError) -> None:
+    def log_rejected_settings(self, err: ConfigurationError) -> None:
         """Note settings that can't be used; the present ones stay."""
         log_message(message_type="settings_refused", level="error", error=str(err))
 
     @callback
-    def _is_holder_heard(self, term: int) -> bool:
+    def _is_holder_alive(self, term: int) -> bool:
         """Return whether another instance holds the lease, in a term or a later one."""
         now = asyncio.get_running_loop().time()
-        return self._fleet.leader.is_heard(term, now)
+        return self._fleet.known_leader.is_heard(term, now)
 
     @callback
-    def _is_linked(self) -> bool:
+    def _has_live_links(self) -> bool:
         """Return whether another instance is heard, which tells of a new holder."""
         return bool(self._fleet.links.live_links())
 
     @callback
-    def _take_load(self) -> LoadReport:
+    def _collect_load_report(self) -> LoadReport:
         """Return what was noted since the last call."""
-        self._show_members(self._sender.retries.members(suspend_aware_now()) or 0)
+        self._update_retry_members(
+            self._sender.retries.members(suspend_aware_now()) or 0
+        )
         return self._sender.take_load()
 
     @callback
-    def _show_members(self, members: int) -> None:
+    def _update_retry_members(self, members: int) -> None:
         """Show among how many instances the budgets of retries are shared."""
         if members != self._metrics.retry_members:
             log_message(message_type="retry_members_changed", members=members)
         self._metrics.retry_members = members
 
     @callback
-    def _note_configuration(self) -> None:
+    def _handle_configuration_change(self) -> None:
         """Act on a new configuration."""
         self._handler.note_configuration()
         configuration = self._configuration.current
         if configuration is not None:
-            self._leader.note_configuration()
+            self._leader.update_candidacy()
             names = configuration.services_by_name.keys()
             self._directory.set_services(names, suspend_aware_now())
-        self._note_targets()
+        self._update_permit_targets()
 
     @callback
-    def _note_targets(self) -> None:
+    def _update_permit_targets(self) -> None:
         """Tell the permits which targets there are."""
         now = suspend_aware_now()
         configuration = self._configuration.current
@@ -303,11 +305,11 @@
                 service.name,
                 serving,
                 retiring,
-                self._cold_targets(service, [*serving, *retiring], now),
+                self._build_cold_targets(service, [*serving, *retiring], now),
             )
 
     @callback
-    def _cold_targets(
+    def _build_cold_targets(
         self, service: ServiceSpec, targets: list[Target], now: float
     ) -> ColdTargets:
         """Return the targets of a service that are cold."""
@@ -326,9 +328,9 @@
         """Close idle connections again and again."""
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(HOUSEKEEPING)
+            await asyncio.sleep(HOUSEKEEPING_INTERVAL)
             self._directory.sweep(suspend_aware_now())
             self._evacuations.sweep(suspend_aware_now())
             # A leaving target's drain time ends without a change that tells of it.
-            self._note_targets()
+            self._update_permit_targets()
             self._clients.close_idle(loop.time())
--- a/swiftpin/router/assigner_factory.py
+++ b/swiftpin/router/assigner_factory.py
@@ -23,7 +23,7 @@
 from swiftpin.router.configuration_holder import ConfigurationHolder
 from swiftpin.router.key_map_sharing import KeyMapSharing
 
-WORK_MARGIN: Final = 0.5
+REQUEST_END_MARGIN: Final = 0.5
 """Seconds beyond a request's deadline until its target has surely stopped: the way to
 it, and a clock that runs slow. A change of the configuration may have shortened
 timeouts moments ago."""
@@ -73,12 +73,14 @@
             health_path=configuration.services_by_name[service].health_path,
             on_map=self._key_maps.hand_out,
             count_members=lambda: self._permits.issuers.members,
-            longest_request=self._longest_request,
-            declared=partial(self._declared, configuration.services_by_name[service]),
+            longest_request=self._max_request_time,
+            declared=partial(
+                self._current_spec, configuration.services_by_name[service]
+            ),
         )
 
     @callback
-    def _declared(self, known: ServiceSpec) -> ServiceSpec:
+    def _current_spec(self, known: ServiceSpec) -> ServiceSpec:
         """Return the present declaration of a service, the one known if it has none."""
         configuration = self._configuration.current
         if configuration is None:
@@ -96,8 +98,8 @@
             raise RequestNotSentError("the lease has ended")
 
     @callback
-    def _longest_request(self) -> float:
+    def _max_request_time(self) -> float:
         """Return after how many seconds no request sent before is at work any more."""
         configuration = self._configuration.current
         longest = 0.0 if configuration is None else configuration.longest_timeout
-        return longest + WORK_MARGIN
+        return longest + REQUEST_END_MARGIN
--- a/swiftpin/router/background_tasks.py
+++ b/swiftpin/router/background_tasks.py
@@ -25,7 +25,7 @@
     def start(self, coroutine: Coroutine[None, None, None]) -> None:
         """Run a coroutine."""
         task = asyncio.get_running_loop().create_task(coroutine)
-        task.add_done_callback(self._note_ended)
+        task.add_done_callback(self._handle_done)
         self._tasks.append(task)
 
     async def async_unload(self) -> None:
@@ -35,7 +35,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     @callback
-    def _note_ended(self, task: asyncio.Task[None]) -> None:
+    def _handle_done(self, task: asyncio.Task[None]) -> None:
         """Tell of a task that ended by itself."""
         if task.cancelled():
             return
--- a/swiftpin/router/configuration_holder.py
+++ b/swiftpin/router/configuration_holder.py
@@ -21,18 +21,18 @@
 from swiftpin.platform.platform_object import PlatformObject
 from swiftpin.router.configuration_lag import ConfigurationLag
 
-PACKING_LEVEL: Final = 1
+COMPRESSION_LEVEL: Final = 1
 """Level of zlib's compression; higher ones take longer and save little of JSON."""
 
 Decoding = Generator[None, None, Configuration]
 """A configuration that is being decoded."""
 
-LARGEST_DOCUMENT: Final = 64 * 1024 * 1024
+MAX_DOCUMENT_BYTES: Final = 64 * 1024 * 1024
 """Bytes of a configuration at most that is unpacked."""
 
 
 @callback
-def _ignore() -> None:
+def _noop() -> None:
     """Do nothing."""
 
 
@@ -42,7 +42,7 @@
 
     name: str
     packed: bytes = b""
-    on_done: Callable[[], None] = _ignore
+    on_done: Callable[[], None] = _noop
     """Called when it is in force or refused."""
 
 
@@ -56,7 +56,7 @@
         self.packed = b""
         """What the version in force was read from, for neighbours."""
 
-        self.on_change: Callable[[], None] = _ignore
+        self.on_change: Callable[[], None] = _noop
 
     @property
     def version(self) -> int:
@@ -102,11 +102,11 @@
 
         `on_done` is called when it is in force or refused.
         """
-        source = _Source(name="neighbour", packed=packed, on_done=on_done or _ignore)
+        source = _Source(name="neighbour", packed=packed, on_done=on_done or _noop)
         try:
-            document = load_json(_unpack(packed))
+            document = load_json(_decompress(packed))
         except (FieldError, zlib.error) as err:
-            self._refuse(source, str(err))
+            self._reject(source, str(err))
             return
         self._decode(decode_in_steps(document), source, now)
 
@@ -114,9 +114,9 @@
     def _adopt_stored(self, document: object, now: float) -> None:
         """Take the configuration that the store holds."""
         try:
-            packed = _pack(document)
+            packed = _compress(document)
         except ConfigurationError as err:
-            self._refuse(_Source(name="store"), str(err))
+            self._reject(_Source(name="store"), str(err))
             return
         source = _Source(name="store", packed=packed)
         self._decode(decode_in_steps(document), source, now)
@@ -127,7 +127,7 @@
         try:
             done = run_slice(decoding)
         except ConfigurationError as err:
-            self._refuse(source, str(err))
+            self._reject(source, str(err))
             return
         if done is None:
             loop = asyncio.get_running_loop()
@@ -137,7 +137,7 @@
         source.on_done()
 
     @callback
-    def _refuse(self, source: _Source, error: str) -> None:
+    def _reject(self, source: _Source, error: str) -> None:
         """Note a configuration that can't be read; the one in force stays."""
         log_message(
             message_type="configuration_refused",
@@ -174,15 +174,15 @@
 
 
 @callback
-def _pack(document: object) -> bytes:
+def _compress(document: object) -> bytes:
     """Return a document for neighbours; raise `ConfigurationError` if it can't be."""
     try:
-        return zlib.compress(orjson.dumps(document), PACKING_LEVEL)
+        return zlib.compress(orjson.dumps(document), COMPRESSION_LEVEL)
     except TypeError as err:
         raise ConfigurationError(f"configuration: {err}") from err
 
 
 @callback
-def _unpack(packed: bytes) -> bytes:
+def _decompress(packed: bytes) -> bytes:
     """Return what a neighbour packed; raise `zlib.error` if it is not readable."""
-    return zlib.decompressobj().decompress(packed, LARGEST_DOCUMENT)
+    return zlib.decompressobj().decompress(packed, MAX_DOCUMENT_BYTES)
--- a/swiftpin/router/daemon.py
+++ b/swiftpin/router/daemon.py
@@ -22,7 +22,7 @@
 EXIT_OK: Final = 0
 EXIT_SETTINGS: Final = 2
 
-SETTINGS_POLL: Final = 1.0
+SETTINGS_POLL_INTERVAL: Final = 1.0
 """Seconds between two looks whether the settings file changed without a signal."""
 
 
@@ -43,13 +43,13 @@
     logging.setup()
     router = Router(settings, logging)
     loop = asyncio.get_running_loop()
-    loop.add_signal_handler(signal.SIGTERM, router.stop_wanted.set)
-    loop.add_signal_handler(signal.SIGINT, router.stop_wanted.set)
+    loop.add_signal_handler(signal.SIGTERM, router.stop_requested.set)
+    loop.add_signal_handler(signal.SIGINT, router.stop_requested.set)
     loop.add_signal_handler(signal.SIGHUP, _reload, router, path)
     reloads = asyncio.create_task(_async_poll_settings(router, path))
     try:
         await router.async_setup()
-        await router.stop_wanted.wait()
+        await router.stop_requested.wait()
         await router.async_stop()
     finally:
         reloads.cancel()
@@ -64,14 +64,14 @@
     try:
         router.apply_settings(read_settings(path))
     except ConfigurationError as err:
-        router.note_bad_settings(err)
+        router.log_rejected_settings(err)
 
 
 async def _async_poll_settings(router: Router, path: str) -> None:
     """Take settings that changed without a signal."""
     known = _modified_at(path)
     while True:
-        await asyncio.sleep(SETTINGS_POLL)
+        await asyncio.sleep(SETTINGS_POLL_INTERVAL)
         modified = _modified_at(path)
         if modified != known:
             known = modified
--- a/swiftpin/router/document_ask.py
+++ b/swiftpin/router/document_requester.py
@@ -11,15 +11,15 @@
 from swiftpin.fleet.link import PeerLink
 from swiftpin.fleet.links import FleetLinks
 
-ANSWER_LIMIT: Final = 0.6
+ANSWER_TIMEOUT: Final = 0.6
 """Seconds without a part of the answer after which another neighbour is asked."""
 
-ASK_INTERVAL: Final = 0.4
+MIN_REQUEST_INTERVAL: Final = 0.4
 """Seconds between two questions at least: each answer costs processor time at both
 sides, and targets change many times a second while many of them come and go."""
 
 
-class DocumentAsk:
+class DocumentRequester:
     """Asks one neighbour at a time, and waits while its answer is arriving.
 
     An answer may take longer over a thin link than a neighbour needs to be asked again;
@@ -32,22 +32,22 @@
         links: FleetLinks,
         rng: Random,
         is_ahead: Callable[[Item], bool],
-        send_ask: Callable[[PeerLink], None],
-        pause: Callable[[], float],
+        send_request: Callable[[PeerLink], None],
+        delay: Callable[[], float],
     ) -> None:
         self._links = links
         self._rng = rng
         self._is_ahead = is_ahead
         """Tells by a neighbour's heartbeat whether it knows something newer."""
 
-        self._send_ask = send_ask
-        self._pause = pause
+        self._send_request = send_request
+        self._delay = delay
         """Returns the seconds to stay behind before a neighbour is asked."""
 
         self._behind_since: float | None = None
-        self._asked: PeerLink | None = None
-        self._asked_at = -ASK_INTERVAL
-        self._last_asked = ""
+        self._pending_link: PeerLink | None = None
+        self._requested_at = -MIN_REQUEST_INTERVAL
+        self._last_requested = ""
         """Incarnation of the neighbour that was asked last."""
 
     @property
@@ -56,7 +56,7 @@
         return self._behind_since is not None
 
     @callback
-    def look(self, now: float) -> None:
+    def update(self, now: float) -> None:
         """Ask a neighbour, if one is ahead and no answer is on its way."""
         ahead = [
             link
@@ -64,39 +64,39 @@
             if link.heartbeat is not None and self._is_ahead(link.heartbeat)
         ]
         if not ahead:
-            self._behind_since = self._asked = None
+            self._behind_since = self._pending_link = None
             return
         if self._behind_since is None:
             self._behind_since = now
-        if now - self._asked_at < ASK_INTERVAL:
+        if now - self._requested_at < MIN_REQUEST_INTERVAL:
             return
-        if now - self._behind_since >= self._pause():
-            self.ask(self._choose(ahead, now), now)
+        if now - self._behind_since >= self._delay():
+            self.request(self._choose_neighbour(ahead, now), now)
 
     @callback
-    def ask(self, link: PeerLink, now: float) -> None:
+    def request(self, link: PeerLink, now: float) -> None:
         """Ask a neighbour, unless another one's answer is on its way."""
-        if self._is_answering(now):
+        if self._is_answer_pending(now):
             return
-        self._asked, self._asked_at = link, now
-        self._last_asked = link.incarnation
-        self._send_ask(link)
+        self._pending_link, self._requested_at = link, now
+        self._last_requested = link.incarnation
+        self._send_request(link)
 
     @callback
     def note_answer(self) -> None:
         """Note that an answer has arrived; it may be outdated already."""
-        self._asked = None
+        self._pending_link = None
 
     @callback
-    def _is_answering(self, now: float) -> bool:
+    def _is_answer_pending(self, now: float) -> bool:
         """Return whether an answer is on its way."""
-        link = self._asked
+        link = self._pending_link
         if link is None or link.is_closed:
             return False
-        return now - max(self._asked_at, link.fragment_at) < ANSWER_LIMIT
+        return now - max(self._requested_at, link.fragment_at) < ANSWER_TIMEOUT
 
     @callback
-    def _choose(self, ahead: list[PeerLink], now: float) -> PeerLink:
+    def _choose_neighbour(self, ahead: list[PeerLink], now: float) -> PeerLink:
         """Return the neighbour to ask: one that is heard, and not the last one again.
 
         One that froze or was cut off stays among the links for a second, and whoever
@@ -104,5 +104,5 @@
         at random, since many fall behind at the same moment.
         """
         heard = [link for link in ahead if link.is_fresh(now)] or ahead
-        others = [link for link in heard if link.incarnation != self._last_asked]
+        others = [link for link in heard if link.incarnation != self._last_requested]
         return self._rng.choice(others or heard)
--- a/swiftpin/router/extension_votes.py
+++ b/swiftpin/router/extension_votes.py
@@ -29,17 +29,17 @@
         self._links = links
         self._lease = lease
         self._health = health
-        self._asked_by = ""
+        self._requested_by = ""
         """Incarnation of the holder that lost the store."""
 
-        self._asked_at = 0.0
+        self._requested_at = 0.0
         self._voted_for = ""
         """Incarnation of the holder for which this member voted last."""
 
         self._probe: asyncio.Task[None] | None = None
 
     @callback
-    def give(self, link: PeerLink, now: float) -> bool:
+    def cast_vote(self, link: PeerLink, now: float) -> bool:
         """Return whether to leave the lease to its holder at the other end of a link.
 
         Only what its holder says counts: heartbeats go to other instances too, and
@@ -48,27 +48,27 @@
         heartbeat = link.heartbeat
         if heartbeat is None or not heartbeat.leads:
             return False
-        is_given = self._is_due(link, heartbeat, now)
+        is_given = self._should_vote(link, heartbeat, now)
         if is_given:
             self._lease.own_vote_until = now + VOTE_TIME
-        self._note(link.incarnation if is_given else "")
+        self._log_vote(link.incarnation if is_given else "")
         return is_given
 
     @callback
-    def _is_due(self, link: PeerLink, heartbeat: Item, now: float) -> bool:
+    def _should_vote(self, link: PeerLink, heartbeat: Item, now: float) -> bool:
         """Return whether to vote for the holder at the other end of a link."""
         if not heartbeat.store_lost:
-            self._asked_by = ""
+            self._requested_by = ""
             return False
-        if self._asked_by != link.incarnation:
-            self._asked_by = link.incarnation
-            self._asked_at = now
+        if self._requested_by != link.incarnation:
+            self._requested_by = link.incarnation
+            self._requested_at = now
             self._probe = asyncio.create_task(self._lease.async_probe())
         answered_at = self._health.answered_at
-        return answered_at is None or answered_at < self._asked_at
+        return answered_at is None or answered_at < self._requested_at
 
     @callback
-    def _note(self, holder: str) -> None:
+    def _log_vote(self, holder: str) -> None:
         """Write a line when votes for a holder begin or end; empty for none."""
         if holder == self._voted_for:
             return
@@ -79,12 +79,12 @@
         self._voted_for = holder
 
     @callback
-    def take(self, link: PeerLink, echo: float) -> None:
+    def handle_vote(self, link: PeerLink, requested_at: float) -> None:
         """Take a vote; `echo` is this instance's time when it was asked for.
 
         Counted from before the vote was made, so it never looks longer.
         """
-        link.vote_until = max(link.vote_until, echo + VOTE_TIME)
+        link.vote_until = max(link.vote_until, requested_at + VOTE_TIME)
         self._lease.extended_until = self._extended_until()
 
     @callback
--- a/swiftpin/router/fleet_coordinator.py
+++ b/swiftpin/router/fleet_coordinator.py
@@ -32,7 +32,7 @@
 from swiftpin.router.key_map_sharing import KeyMapSharing
 from swiftpin.router.key_maps import KeyMaps
 from swiftpin.router.known_leader import KnownLeader
-from swiftpin.router.load_reports import LoadReports, report_pause
+from swiftpin.router.load_reports import LoadReports, report_interval
 from swiftpin.router.poison_reports import PoisonReports
 from swiftpin.router.poison_watch import PoisonWatch
 
@@ -77,14 +77,14 @@
         self._lease = lease
         self._permits = permits
         self._maps = maps
-        self.leader = KnownLeader(links)
-        self.key_maps = KeyMapSharing(links, maps, self._ask_key_maps)
-        self.load = LoadReports(links, self.leader, lease)
-        self._poison = PoisonReports(links, self.leader, poison)
+        self.known_leader = KnownLeader(links)
+        self.key_maps = KeyMapSharing(links, maps, self._request_key_maps)
+        self.load_reports = LoadReports(links, self.known_leader, lease)
+        self._poison_reports = PoisonReports(links, self.known_leader, poison)
         self._fleet_size = fleet_size
         self._heartbeats = Heartbeats(
             incarnation=incarnation,
-            leader=self.leader,
+            leader=self.known_leader,
             lease=lease,
             votes=ExtensionVotes(links=links, lease=lease, health=health),
             maps=maps,
@@ -93,7 +93,7 @@
             lifecycle=lifecycle,
             health=health,
         )
-        self._issuers = IssuerList(
+        self._issuer_list = IssuerList(
             incarnation=incarnation,
             own_peer=own_peer,
             strength=strength,
@@ -114,20 +114,22 @@
             directory=directory,
         )
 
-    async def async_run(self, take_load: Callable[[], LoadReport]) -> None:
+    async def async_run(self, collect_load_report: Callable[[], LoadReport]) -> None:
         """Keep links, issuers and reports up to date until cancelled."""
         report_at = 0.0
         while True:
             now = suspend_aware_now()
-            self._keep_links()
+            self._update_links()
             if self._lease.is_held(now):
-                self._issuers.choose(now)
-            self._note_members(now)
-            self._poison.report(now)
+                self._issuer_list.update(now)
+            self._update_fleet_size(now)
+            self._poison_reports.report(now)
             self.gossip.ask()
             if now >= report_at:
-                report_at = now + report_pause(self._permits.issuers.members) - TICK / 2
-                self.load.send(take_load(), now)
+                report_at = (
+                    now + report_interval(self._permits.issuers.members) - TICK / 2
+                )
+                self.load_reports.send(collect_load_report(), now)
             await asyncio.sleep(TICK)
 
     @callback
@@ -141,33 +143,35 @@
             case "end":
                 self._permits.handle_end(link, item.end)
             case "heartbeat":
-                self._heartbeats.take(link, item.heartbeat)
-                self.gossip.note_heartbeat()
+                self._heartbeats.handle(link, item.heartbeat)
+                self.gossip.handle_heartbeat()
             case "load":
-                self.load.on_load(item.load)
+                self.load_reports.on_load(item.load)
             case "key_map":
                 self._maps.adopt(decode_key_map(item.key_map))
-                self.gossip.note_key_map()
+                self.gossip.handle_key_map()
             case "key_map_change":
-                self.key_maps.take_change(link, item.key_map_change)
+                self.key_maps.handle_change(link, item.key_map_change)
             case "key_map_ask":
-                self.key_maps.give(link)
+                self.key_maps.send_all(link)
             case "suspect":
-                self._poison.take_suspect(item.suspect, suspend_aware_now())
+                self._poison_reports.take_suspect(item.suspect, suspend_aware_now())
             case "quarantine":
-                self._poison.take_quarantine(item.quarantine, suspend_aware_now())
+                self._poison_reports.take_quarantine(
+                    item.quarantine, suspend_aware_now()
+                )
             case "issuers":
-                self._issuers.take(decode_issuers(item.issuers))
+                self._issuer_list.adopt(decode_issuers(item.issuers))
             case "hello":
-                self._take_hello(link, item.hello)
+                self._handle_hello(link, item.hello)
             case "configuration_ask":
                 self.gossip.give_configuration(link, item.configuration_ask)
             case "configuration":
                 self.gossip.take_configuration(item.configuration)
             case "update_ask":
-                self.gossip.give_targets(link, item.update_ask)
+                self.gossip.send_targets(link, item.update_ask)
             case "update":
-                self.gossip.take_targets(item.update)
+                self.gossip.handle_targets(item.update)
 
     @callback
     def make_heartbeat(self, link: PeerLink) -> Item:
@@ -175,7 +179,7 @@
         return self._heartbeats.make(link, suspend_aware_now())
 
     @callback
-    def _take_hello(self, link: PeerLink, hello: Item) -> None:
+    def _handle_hello(self, link: PeerLink, hello: Item) -> None:
         """Learn who is at the other side, and give it what it needs."""
         link.incarnation = hello.incarnation
         link.peer = hello.peer
@@ -189,17 +193,17 @@
         if link.is_outgoing:
             return
         if self._permits.issuers.number:
-            self._issuers.give(link)
-        self._poison.give(link, suspend_aware_now())
+            self._issuer_list.send(link)
+        self._poison_reports.give(link, suspend_aware_now())
 
     @callback
-    def _note_members(self, now: float) -> None:
+    def _update_fleet_size(self, now: float) -> None:
         """Note how many instances there are, while the holder of the lease is heard."""
         issuers = self._permits.issuers
         if self._lease.is_held(now):
             term = self._lease.term
         else:
-            link = self.links.outgoing_by_peer.get(self.leader.record.peer)
+            link = self.links.outgoing_by_peer.get(self.known_leader.record.peer)
             if link is None or link.heartbeat is None or not link.heartbeat.leads:
                 return
             if not link.is_alive(asyncio.get_running_loop().time()):
@@ -209,15 +213,15 @@
             self._fleet_size.note_told(issuers.members, now)
 
     @callback
-    def _ask_key_maps(self, link: PeerLink) -> None:
+    def _request_key_maps(self, link: PeerLink) -> None:
         """Ask for key maps of which a change was missed."""
-        self.gossip.ask_key_maps(link)
+        self.gossip.request_key_maps(link)
 
     @callback
-    def _keep_links(self) -> None:
+    def _update_links(self) -> None:
         """Keep links to the leader and the issuers; to seeds while neither is known."""
         wanted = {
-            self.leader.record.peer,
+            self.known_leader.record.peer,
             *self._permits.issuers.peers_by_incarnation.values(),
         }
         wanted.discard("")
--- a/swiftpin/router/fleet_size.py
+++ b/swiftpin/router/fleet_size.py
@@ -19,7 +19,7 @@
 """Seconds for which a count is remembered. A new holder hears the members one after the
 other and tells too few of them at first."""
 
-HEADROOM: Final = 8
+HEADROOM_DIVISOR: Final = 8
 """Part of the members by which the count that is told may exceed their number, so that
 not every start is told to everyone."""
 
@@ -35,16 +35,16 @@
     """
 
     def __init__(self) -> None:
-        self._heard_since = 0.0
-        self._heard_at: float | None = None
+        self._connected_since = 0.0
+        self._last_heard_at: float | None = None
         self._counts: deque[tuple[float, int]] = deque()
 
     @callback
     def note_told(self, members: int, now: float) -> None:
         """Take the count that the holder, heard at present, has told."""
-        if not self._is_heard(now):
-            self._heard_since = now
-        self._heard_at = now
+        if not self._is_connected(now):
+            self._connected_since = now
+        self._last_heard_at = now
         while self._counts and self._counts[-1][1] <= members:
             self._counts.pop()
         self._counts.append((now, members))
@@ -57,21 +57,21 @@
 
         None while this instance takes no share.
         """
-        in_touch = now - self._heard_since if self._is_heard(now) else 0.0
+        in_touch = now - self._connected_since if self._is_connected(now) else 0.0
         if in_touch < window + TELL_TIME:
             return None
         return self._counts[0][1]
 
     @callback
-    def _is_heard(self, now: float) -> bool:
+    def _is_connected(self, now: float) -> bool:
         """Return whether a holder was heard lately."""
-        return self._heard_at is not None and now - self._heard_at <= MAX_GAP
+        return self._last_heard_at is not None and now - self._last_heard_at <= MAX_GAP
 
 
 @callback
 def members_to_tell(members: int, told: int) -> int:
     """Return the count to tell, at least the members; `told` was told last."""
-    most = members + members // HEADROOM
-    if members <= told <= most + members // HEADROOM + 1:
+    most = members + members // HEADROOM_DIVISOR
+    if members <= told <= most + members // HEADROOM_DIVISOR + 1:
         return told
     return most
--- a/swiftpin/router/gossip.py
+++ b/swiftpin/router/gossip.py
@@ -23,12 +23,12 @@
 from swiftpin.platform.target_entries import decode_target_list, encode_target_list
 from swiftpin.platform.unusable_entry import UnusableEntryError
 from swiftpin.router.configuration_holder import ConfigurationHolder
-from swiftpin.router.document_ask import DocumentAsk
+from swiftpin.router.document_requester import DocumentRequester
 from swiftpin.router.holder_view import HolderView
 from swiftpin.router.key_maps import KeyMaps
-from swiftpin.router.watch_duty import WatchDuty, first_issuers
+from swiftpin.router.watch_duty import WatchDuty, choose_configuration_watchers
 
-ASK_PAUSE: Final = 0.2
+REQUEST_DELAY: Final = 0.2
 """Seconds for which an instance that is told of changes stays behind before it asks a
 neighbour: what the store or the lease's holder sends is most likely on its way."""
 
@@ -53,7 +53,7 @@
         configuration: ConfigurationHolder,
         directory: TargetDirectory,
     ) -> None:
-        self.holder = HolderView(links)
+        self.holder_view = HolderView(links)
         self._incarnation = incarnation
         self._health = health
         self._maps = maps
@@ -69,77 +69,81 @@
         )
         self.targets_duty = make_duty(
             known_version=lambda: directory.version,
-            told_version=lambda heartbeat: int(heartbeat.targets),
-            watchers=set,
+            announced_version=lambda heartbeat: int(heartbeat.targets),
+            choose_watchers=set,
         )
         self.configuration_duty = make_duty(
             known_version=lambda: configuration.version,
-            told_version=lambda heartbeat: int(heartbeat.configuration),
-            watchers=first_issuers,
+            announced_version=lambda heartbeat: int(heartbeat.configuration),
+            choose_watchers=choose_configuration_watchers,
         )
         self.evacuations_duty = make_duty(
             known_version=lambda: directory.evacuations.changed_version,
-            told_version=lambda heartbeat: int(heartbeat.evacuations),
-            watchers=first_issuers,
+            announced_version=lambda heartbeat: int(heartbeat.evacuations),
+            choose_watchers=choose_configuration_watchers,
         )
-        make_ask = partial(DocumentAsk, links=links, rng=Random(incarnation))
-        self._configuration_ask = make_ask(
+        make_ask = partial(DocumentRequester, links=links, rng=Random(incarnation))
+        self._configuration_requester = make_ask(
             is_ahead=lambda heartbeat: heartbeat.configuration > configuration.version,
-            send_ask=self._ask_configuration,
-            pause=partial(_pause, self.configuration_duty),
+            send_request=self._request_configuration,
+            delay=partial(_request_delay, self.configuration_duty),
         )
-        self._targets_ask = make_ask(
+        self._targets_requester = make_ask(
             is_ahead=lambda heartbeat: heartbeat.targets > directory.version,
-            send_ask=self._ask_targets,
-            pause=partial(_pause, self.targets_duty),
+            send_request=self._request_targets,
+            delay=partial(_request_delay, self.targets_duty),
         )
-        self._key_maps_ask = make_ask(
+        self._key_maps_requester = make_ask(
             is_ahead=lambda heartbeat: _maps_version(heartbeat) > maps.version,
-            send_ask=_ask_key_maps,
-            pause=lambda: ASK_PAUSE if maps.maps_by_service else 0.0,
+            send_request=_request_key_maps,
+            delay=lambda: REQUEST_DELAY if maps.maps_by_service else 0.0,
+        )
+        self._requesters = (
+            self._configuration_requester,
+            self._targets_requester,
+            self._key_maps_requester,
         )
-        self._asks = (self._configuration_ask, self._targets_ask, self._key_maps_ask)
 
     @callback
-    def _confirm(self) -> None:
+    def _confirm_targets(self) -> None:
         """Note that the lease's holder knows of the targets what this instance does."""
-        if self.holder.confirmed_version() == self._directory.version:
+        if self.holder_view.confirmed_version() == self._directory.version:
             self._directory.note_confirmed(suspend_aware_now() - GOSSIP_LAG)
 
     @callback
     def ask(self) -> None:
         """Ask neighbours that know something newer for it."""
         now = asyncio.get_running_loop().time()
-        self.targets_duty.age_version(now)
-        self.configuration_duty.age_version(now)
-        self.evacuations_duty.age_version(now)
-        self.holder.look(now)
-        self._confirm()
-        for ask in self._asks:
-            ask.look(now)
+        self.targets_duty.update_settled_version(now)
+        self.configuration_duty.update_settled_version(now)
+        self.evacuations_duty.update_settled_version(now)
+        self.holder_view.update(now)
+        self._confirm_targets()
+        for ask in self._requesters:
+            ask.update(now)
         self._configuration.lag.has_source = (
-            self._configuration_ask.is_behind or not self._health.is_lost
+            self._configuration_requester.is_behind or not self._health.is_lost
         )
 
     @callback
-    def note_heartbeat(self) -> None:
+    def handle_heartbeat(self) -> None:
         """Ask for key maps at once while none is known, as after a start."""
         if not self._maps.maps_by_service:
-            self._key_maps_ask.look(asyncio.get_running_loop().time())
+            self._key_maps_requester.update(asyncio.get_running_loop().time())
 
     @callback
-    def ask_key_maps(self, link: PeerLink) -> None:
+    def request_key_maps(self, link: PeerLink) -> None:
         """Ask a neighbour for all key maps, unless they are on their way."""
-        self._key_maps_ask.ask(link, asyncio.get_running_loop().time())
+        self._key_maps_requester.request(link, asyncio.get_running_loop().time())
 
     @callback
-    def _ask_configuration(self, link: PeerLink) -> None:
+    def _request_configuration(self, link: PeerLink) -> None:
         """Ask a neighbour for its configuration."""
         ask = pb.ConfigurationAsk(version=self._configuration.version)
         link.send(pb.Item(configuration_ask=ask))
 
     @callback
-    def _ask_targets(self, link: PeerLink) -> None:
+    def _request_targets(self, link: PeerLink) -> None:
         """Ask a neighbour for the targets that changed since this instance's list."""
         link.send(pb.Item(update_ask=pb.UpdateAsk(targets=self._directory.version)))
 
@@ -158,7 +162,7 @@
         return pb.Item(configuration=document)
 
     @callback
-    def give_targets(self, link: PeerLink, ask: Item) -> None:
+    def send_targets(self, link: PeerLink, ask: Item) -> None:
         """Answer a neighbour that lacks changes of the targets."""
         link.send_document(partial(self._make_update, link, ask))
 
@@ -177,21 +181,23 @@
         return pb.Item(update=update)
 
     @callback
-    def note_key_map(self) -> None:
+    def handle_key_map(self) -> None:
         """Note that a neighbour sent a whole key map."""
-        self._key_maps_ask.note_answer()
+        self._key_maps_requester.note_answer()
 
     @callback
     def take_configuration(self, message: Item) -> None:
         """Take the configuration that a neighbour knows."""
         self._configuration.adopt_packed(
-            message.packed, suspend_aware_now(), self._configuration_ask.note_answer
+            message.packed,
+            suspend_aware_now(),
+            self._configuration_requester.note_answer,
         )
 
     @callback
-    def take_targets(self, update: Item) -> None:
+    def handle_targets(self, update: Item) -> None:
         """Take what a neighbour knows of the targets."""
-        self._targets_ask.note_answer()
+        self._targets_requester.note_answer()
         try:
             targets = decode_target_list(update.targets)
         except UnusableEntryError as err:
@@ -206,9 +212,9 @@
 
 
 @callback
-def _pause(duty: WatchDuty) -> float:
+def _request_delay(duty: WatchDuty) -> float:
     """Return the seconds to wait for the store before a neighbour is asked."""
-    return 0.0 if duty.is_skipped() else ASK_PAUSE
+    return 0.0 if duty.is_skipped() else REQUEST_DELAY
 
 
 @callback
@@ -218,6 +224,6 @@
 
 
 @callback
-def _ask_key_maps(link: PeerLink) -> None:
+def _request_key_maps(link: PeerLink) -> None:
     """Ask a neighbour for all its key maps."""
     link.send(pb.Item(key_map_ask=pb.KeyMapAsk()))
--- a/swiftpin/router/heartbeats.py
+++ b/swiftpin/router/heartbeats.py
@@ -64,7 +64,7 @@
                 store_lost=self._health.is_lost,
                 maps_term=self._maps.version[0],
                 maps_number=self._maps.version[1],
-                vote=self._votes.give(link, now),
+                vote=self._votes.cast_vote(link, now),
                 resigned_term=self._lease.own_resigned_term(now),
                 evacuations=evacuations.version,
                 evacuated_zones=ages_by_zone.keys(),
@@ -73,7 +73,7 @@
         )
 
     @callback
-    def take(self, link: PeerLink, heartbeat: pb.Heartbeat) -> None:
+    def handle(self, link: PeerLink, heartbeat: pb.Heartbeat) -> None:
         """Take a heartbeat that came over a link."""
         link.heartbeat = heartbeat
         now = suspend_aware_now()
@@ -84,7 +84,7 @@
             ages_by_zone, heartbeat.evacuations, now
         )
         if heartbeat.vote:
-            self._votes.take(link, heartbeat.echo)
+            self._votes.handle_vote(link, heartbeat.echo)
         lease = self._lease
         lease.resigned_term = max(lease.resigned_term, heartbeat.resigned_term)
         self._leader.note_heartbeat(heartbeat)
--- a/swiftpin/router/holder_view.py
+++ b/swiftpin/router/holder_view.py
@@ -10,7 +10,7 @@
 from swiftpin.fleet.link import PeerLink
 from swiftpin.fleet.links import FleetLinks
 
-HOLDER_CATCH_UP: Final = 2.0
+HOLDER_CATCH_UP_TIME: Final = 2.0
 """Seconds for which the lease's holder must have said that it hears the store until its
 word confirms anything: its lease may be answered while its watch, which waits 1.4 s at
 most, has still to bring what happened in an outage."""
@@ -30,39 +30,39 @@
 
         self._links = links
         self._lost_incarnations: set[str] = set()
-        self._informed_holder = ""
+        self._connected_holder = ""
         """Incarnation of the holder, if it is heard and hears the store."""
 
-        self._informed_since = 0.0
+        self._connected_since = 0.0
 
     @callback
     def is_confirmed(self) -> bool:
         """Return whether the holder would tell of a change."""
         now = asyncio.get_running_loop().time()
-        link = self._link(now)
+        link = self._holder_link(now)
         return (
             link is not None
-            and link.incarnation == self._informed_holder
-            and now - self._informed_since >= HOLDER_CATCH_UP
+            and link.incarnation == self._connected_holder
+            and now - self._connected_since >= HOLDER_CATCH_UP_TIME
         )
 
     @callback
     def confirmed_version(self) -> int | None:
         """Return the version of the targets that the holder knows, if it is new."""
-        link = self._link(asyncio.get_running_loop().time())
+        link = self._holder_link(asyncio.get_running_loop().time())
         if link is None or not self.is_confirmed():
             return None
         heartbeat: Item = link.heartbeat
         return int(heartbeat.targets)
 
     @callback
-    def look(self, now: float) -> None:
+    def update(self, now: float) -> None:
         """Note since when the holder hears the store, and who lost it."""
-        link = self._link(now)
+        link = self._holder_link(now)
         holder = "" if link is None else link.incarnation
-        if holder != self._informed_holder:
-            self._informed_holder = holder
-            self._informed_since = now
+        if holder != self._connected_holder:
+            self._connected_holder = holder
+            self._connected_since = now
         lost = {
             link.incarnation
             for link in self._links.live_links()
@@ -73,7 +73,7 @@
             self.store_reports += 1
 
     @callback
-    def _link(self, now: float) -> PeerLink | None:
+    def _holder_link(self, now: float) -> PeerLink | None:
         """Return a link to the holder, if it is heard and hears the store.
 
         An instance that froze as the holder may still say so for a moment when it
--- a/swiftpin/router/issuer_list.py
+++ b/swiftpin/router/issuer_list.py
@@ -17,9 +17,9 @@
 from swiftpin.permits.permit_issuers import PermitIssuers
 from swiftpin.router.fleet_messages import encode_issuers
 from swiftpin.router.fleet_size import MAX_GAP, members_to_tell
-from swiftpin.router.watch_duty import first_issuers
+from swiftpin.router.watch_duty import choose_configuration_watchers
 
-MOST_CANDIDATES: Final = 16
+MAX_CANDIDATES: Final = 16
 """Instances named in the lease; the record is written several times a second."""
 
 
@@ -50,12 +50,12 @@
         self._seen_at_by_incarnation: dict[str, float] = {}
 
     @callback
-    def choose(self, now: float) -> None:
+    def update(self, now: float) -> None:
         """Choose the issuers, and tell everyone when the list has changed."""
-        members = self._members()
+        members = self._eligible_members()
         strengths = {name: strength for name, (strength, _) in members.items()}
         self._lease.members = tuple(
-            name.partition("/")[0] for name in by_strength(strengths)[:MOST_CANDIDATES]
+            name.partition("/")[0] for name in by_strength(strengths)[:MAX_CANDIDATES]
         )
         present = self._permits.issuers
         chosen = choose_issuers(
@@ -64,12 +64,13 @@
             assigner=self._incarnation,
             targets=len(self._directory.targets_by_id),
         )
-        chosen = self._watchers_first(chosen)
+        chosen = self._order_for_watching(chosen)
         issuers = {name: members[name][1] for name in chosen}
         count = members_to_tell(self._count_members(now), present.members)
         is_same = (
             issuers == present.peers_by_incarnation
-            and first_issuers(issuers) == first_issuers(present.peers_by_incarnation)
+            and choose_configuration_watchers(issuers)
+            == choose_configuration_watchers(present.peers_by_incarnation)
             and count == present.members
         )
         if is_same and present.term == self._lease.term:
@@ -82,10 +83,10 @@
             members=count,
         )
         for link in self._links.incoming:
-            self.give(link)
+            self.send(link)
 
     @callback
-    def _watchers_first(self, chosen: list[str]) -> list[str]:
+    def _order_for_watching(self, chosen: list[str]) -> list[str]:
         """Return the issuers, first those that hear the store.
 
         The first of them watch the configuration for the others; with watchers that
@@ -99,12 +100,12 @@
         return sorted(chosen, key=lost.__contains__)
 
     @callback
-    def give(self, link: PeerLink) -> None:
+    def send(self, link: PeerLink) -> None:
         """Send the list over a link."""
         link.send(encode_issuers(self._permits.issuers))
 
     @callback
-    def take(self, issuers: PermitIssuers) -> None:
+    def adopt(self, issuers: PermitIssuers) -> None:
         """Take a list, unless it is older than the present one."""
         present = self._permits.issuers
         if (issuers.term, issuers.number) <= (present.term, present.number):
@@ -135,7 +136,7 @@
         return len(self._seen_at_by_incarnation) + 1
 
     @callback
-    def _members(self) -> dict[str, tuple[float, str]]:
+    def _eligible_members(self) -> dict[str, tuple[float, str]]:
         """Return strength and address of each instance that stays, by incarnation."""
         members = {self._incarnation: (self._strength, self._own_peer)}
         for link in self._links.live_links():
--- a/swiftpin/router/key_map_sharing.py
+++ b/swiftpin/router/key_map_sharing.py
@@ -26,11 +26,11 @@
         self,
         links: FleetLinks,
         maps: KeyMaps,
-        ask_whole: Callable[[PeerLink], None],
+        request_all: Callable[[PeerLink], None],
     ) -> None:
         self._links = links
         self._maps = maps
-        self._ask_whole = ask_whole
+        self._request_all = request_all
         """Called with the neighbour that sent a change of a map that is not known."""
 
     @callback
@@ -41,7 +41,7 @@
         """
         before = self._maps.maps_by_service.get(key_map.service)
         self._maps.adopt(key_map)
-        if before is not None and _follows(key_map, before):
+        if before is not None and _is_successor(key_map, before):
             change = encode_key_map_change(key_map, key_map.changes_since(before))
             for link in self._links.incoming:
                 link.send_after_documents(change)
@@ -50,7 +50,7 @@
             link.send_document(partial(self._encode, key_map.service))
 
     @callback
-    def give(self, link: PeerLink) -> None:
+    def send_all(self, link: PeerLink) -> None:
         """Give all maps whole."""
         for service in self._maps.maps_by_service:
             link.send_document(partial(self._encode, service))
@@ -61,7 +61,7 @@
         return encode_key_map(self._maps.maps_by_service[service])
 
     @callback
-    def take_change(self, link: PeerLink, change: pb.KeyMapChange) -> None:
+    def handle_change(self, link: PeerLink, change: pb.KeyMapChange) -> None:
         """Take what changed of a map; ask for the whole when one was missed."""
         known = self._maps.maps_by_service.get(change.service)
         changed = (change.term, change.number)
@@ -69,10 +69,10 @@
             self._maps.adopt(known.with_changes(decode_owner_changes(change)))
             return
         if known is None or (known.term, known.number) < changed:
-            self._ask_whole(link)
+            self._request_all(link)
 
 
 @callback
-def _follows(key_map: KeyMap, before: KeyMap) -> bool:
+def _is_successor(key_map: KeyMap, previous: KeyMap) -> bool:
     """Return whether a map is the next one after another."""
-    return (key_map.term, key_map.number) == (before.term, before.number + 1)
+    return (key_map.term, key_map.number) == (previous.term, previous.number + 1)
--- a/swiftpin/router/key_maps.py
+++ b/swiftpin/router/key_maps.py
@@ -12,10 +12,10 @@
 from swiftpin.helpers.clock import suspend_aware_now
 from swiftpin.keyranges.key_map import KeyMap
 
-LOG_PAUSE: Final = 1.0
+MIN_LOG_INTERVAL: Final = 1.0
 """Seconds between two lines about a service's map."""
 
-DENIED_TIME: Final = 0.25
+DENIAL_TIME: Final = 0.25
 """Seconds for which nothing is sent for a range whose owner does not hold it: renewals
 come four times as often when a target has lost its grants."""
 
@@ -25,7 +25,7 @@
 
     def __init__(self) -> None:
         self.maps_by_service: dict[str, KeyMap] = {}
-        self.on_change: Callable[[str], None] = _ignore
+        self.on_change: Callable[[str], None] = _noop
         """Called with the name of a service whose map is another one."""
 
         self._changes_by_service: dict[str, asyncio.Event] = {}
@@ -62,7 +62,7 @@
         """
         now = suspend_aware_now()
         logged_at, term = self._logged_by_service.get(key_map.service, (0.0, 0))
-        if now - logged_at < LOG_PAUSE and term == key_map.term:
+        if now - logged_at < MIN_LOG_INTERVAL and term == key_map.term:
             return
         self._logged_by_service[key_map.service] = (now, key_map.term)
         log_message(
@@ -80,7 +80,7 @@
         if key_map is None:
             return
         denied = self._denied_by_service.setdefault(service, {})
-        denied[key_map.range_of(key)] = now + DENIED_TIME
+        denied[key_map.range_of(key)] = now + DENIAL_TIME
 
     @callback
     def is_denied(self, service: str, key: int, now: float) -> bool:
@@ -107,5 +107,5 @@
 
 
 @callback
-def _ignore(service: str) -> None:
+def _noop(service: str) -> None:
     """Do nothing."""
--- a/swiftpin/router/known_leader.py
+++ b/swiftpin/router/known_leader.py
@@ -9,7 +9,7 @@
 from swiftpin.fleet.proto import fleet_pb2 as pb
 from swiftpin.keyranges.lease_record import LeaseRecord
 
-LEADER_SILENCE: Final = 0.65
+LEADER_HEARTBEAT_TIMEOUT: Final = 0.65
 """Seconds without a heartbeat after which candidates begin to look at the lease;
 with one heartbeat late nothing is lost but some reads."""
 
@@ -49,6 +49,6 @@
             link.heartbeat is not None
             and link.heartbeat.leads
             and link.heartbeat.term >= term
-            and now - link.heard_at < LEADER_SILENCE
+            and now - link.heard_at < LEADER_HEARTBEAT_TIMEOUT
             for link in self._links.live_links()
         )
--- a/swiftpin/router/leader.py
+++ b/swiftpin/router/leader.py
@@ -17,7 +17,7 @@
 from swiftpin.model.configuration import Configuration
 from swiftpin.router.configuration_holder import ConfigurationHolder
 
-TICK: Final = 0.1
+POLL_INTERVAL: Final = 0.1
 """Seconds between two looks whether this instance leads."""
 
 
@@ -44,17 +44,17 @@
         try:
             while True:
                 now = suspend_aware_now()
-                self.note_configuration()
+                self.update_candidacy()
                 if self._lease.is_held(now):
-                    self._keep()
+                    self._run_assigners()
                 else:
-                    self._drop_all()
-                await asyncio.sleep(TICK)
+                    self._stop_assigners()
+                await asyncio.sleep(POLL_INTERVAL)
         finally:
-            self._drop_all()
+            self._stop_assigners()
 
     @callback
-    def note_configuration(self) -> None:
+    def update_candidacy(self) -> None:
         """Be ready for the lease as soon as there is a configuration.
 
         The targets need not be known: their grants may end before they are.
@@ -63,7 +63,7 @@
             self._lease.note_willing()
 
     @callback
-    def take_load(self, report: Item) -> None:
+    def handle_load_report(self, report: Item) -> None:
         """Take what an instance was asked for."""
         for load in report.loads:
             assigner = self._assigners_by_service.get(load.service)
@@ -81,10 +81,10 @@
                 assigner.speed.add(times.target, 0.0, failed=True)
 
     @callback
-    def _keep(self) -> None:
+    def _run_assigners(self) -> None:
         """Run an assigner for each service that has keys."""
         if self._term != self._lease.term:
-            self._drop_all()
+            self._stop_assigners()
             self._term = self._lease.term
         configuration = self._configuration.current
         if configuration is None:
@@ -111,7 +111,7 @@
         )
 
     @callback
-    def _drop_all(self) -> None:
+    def _stop_assigners(self) -> None:
         """Stop all assigners; the grants go on until they end."""
         for task in self._tasks_by_service.values():
             task.cancel()
--- a/swiftpin/router/load_reports.py
+++ b/swiftpin/router/load_reports.py
@@ -12,11 +12,11 @@
 from swiftpin.router.fleet_messages import LoadReport, encode_load
 from swiftpin.router.known_leader import KnownLeader
 
-REPORT_PAUSE: Final = 0.2
+MIN_REPORT_INTERVAL: Final = 0.2
 """Seconds between two reports of an instance of a small fleet: hot keys change within
 seconds."""
 
-REPORTERS: Final = 36
+FULL_RATE_MEMBERS: Final = 36
 """Instances above which each reports its load less often, in proportion: the one that
 assigns keys takes all reports."""
 
@@ -27,7 +27,7 @@
     def __init__(
         self, links: FleetLinks, leader: KnownLeader, lease: LeaseElection
     ) -> None:
-        self.on_load: Callable[[Item], None] = _ignore
+        self.on_load: Callable[[Item], None] = _noop
         """Takes the reports while this instance holds the lease."""
 
         self._links = links
@@ -49,11 +49,11 @@
 
 
 @callback
-def report_pause(members: int) -> float:
+def report_interval(members: int) -> float:
     """Return the seconds between two reports of an instance."""
-    return REPORT_PAUSE * max(1.0, members / REPORTERS)
+    return MIN_REPORT_INTERVAL * max(1.0, members / FULL_RATE_MEMBERS)
 
 
 @callback
-def _ignore(load: Item) -> None:
+def _noop(load: Item) -> None:
     """Do nothing."""
--- a/swiftpin/router/planned_stop.py
+++ b/swiftpin/router/planned_stop.py
@@ -23,11 +23,11 @@
 """Seconds before the end of the grace period at which the process ends by itself: to
 close everything takes a slow instance some tenths of a second."""
 
-WAITING_SHARE: Final = 0.6
+QUEUE_WAIT_SHARE: Final = 0.6
 """Part of the grace period for which requests may still wait for a slot; the rest is
 for those that a target has."""
 
-STOP_TICK: Final = 0.02
+STOP_POLL_INTERVAL: Final = 0.02
 """Seconds between two looks whether a leaving instance may end."""
 
 
@@ -58,23 +58,25 @@
         began_at = loop.time()
         ends_at = began_at + grace - STOP_MARGIN
         listens_until = began_at + BALANCER_TIME
-        waits_until = began_at + grace * WAITING_SHARE
+        waits_until = began_at + grace * QUEUE_WAIT_SHARE
         while loop.time() < ends_at:
-            if not self._keeps_lease(suspend_aware_now()):
+            if not self._must_keep_lease(suspend_aware_now()):
                 await self._lease.async_give_up()
             if loop.time() >= listens_until:
                 self._callers.stop_listening()
                 handler.refuse_new()
             if loop.time() >= waits_until:
                 handler.refuse_waiting()
-                if not handler.in_flight and not self._keeps_lease(suspend_aware_now()):
+                if not handler.in_flight and not self._must_keep_lease(
+                    suspend_aware_now()
+                ):
                     break
-            await asyncio.sleep(STOP_TICK)
+            await asyncio.sleep(STOP_POLL_INTERVAL)
         await self._lease.async_give_up()
         log_message(message_type="instance_stopped", in_flight=handler.in_flight)
 
     @callback
-    def _keeps_lease(self, now: float) -> bool:
+    def _must_keep_lease(self, now: float) -> bool:
         """Return whether nobody could take the lease over now.
 
         While the store is away a lease that is given up stays without a holder, and
--- a/swiftpin/router/watch_duty.py
+++ b/swiftpin/router/watch_duty.py
@@ -16,26 +16,26 @@
 from swiftpin.keyranges.lease_election import LeaseElection
 from swiftpin.permits.permit_broker import PermitBroker
 
-SMALL_FLEET: Final = 12
+SMALL_FLEET_SIZE: Final = 12
 """Instances up to which each watches the store itself."""
 
 CONFIGURATION_WATCHERS: Final = 3
 """Issuers that watch the configuration beside the holder of the lease."""
 
-LEAST_WATCHERS: Final = 2
+MIN_WATCHERS: Final = 2
 """Watchers that must be heard, without which an instance watches by itself."""
 
-VERSION_AGE: Final = 1.2
+VERSION_SETTLE_TIME: Final = 1.2
 """Seconds after which a watcher must have told a version: a heartbeat of a busy link
 may be 0.9 s old."""
 
-LONGEST_PAUSE: Final = 3.0
+MAX_RETRY_DELAY: Final = 3.0
 """Seconds between two calls of an instance that need not watch, while the store does
 not answer it: the watchers try more often, and tell of the store's return."""
 
 
 @callback
-def first_issuers(issuers: Iterable[str]) -> set[str]:
+def choose_configuration_watchers(issuers: Iterable[str]) -> set[str]:
     """Return those of the issuers, given in order, that watch the configuration."""
     return set(islice(issuers, CONFIGURATION_WATCHERS))
 
@@ -59,8 +59,8 @@
         permits: PermitBroker,
         health: StoreHealth,
         known_version: Callable[[], int],
-        told_version: Callable[[Item], int],
-        watchers: Callable[[Iterable[str]], set[str]],
+        announced_version: Callable[[Item], int],
+        choose_watchers: Callable[[Iterable[str]], set[str]],
     ) -> None:
         self._incarnation = incarnation
         self._links = links
@@ -68,13 +68,13 @@
         self._permits = permits
         self._health = health
         self._known_version = known_version
-        self._told_version = told_version
-        self._choose_watchers = watchers
-        self._aged_version = 0
-        """Version that this instance knew `VERSION_AGE` ago."""
+        self._announced_version = announced_version
+        self._choose_watchers = choose_watchers
+        self._settled_version = 0
+        """Version that this instance knew `VERSION_SETTLE_TIME` ago."""
 
-        self._ageing_version = 0
-        self._ageing_since = 0.0
+        self._pending_version = 0
+        self._pending_since = 0.0
 
     @callback
     def is_skipped(self) -> bool:
@@ -83,11 +83,11 @@
         One that has lost the store watches until it is answered: nothing else would
         show it that the store is back.
         """
-        if self._health.is_lost or not self._is_spared():
+        if self._health.is_lost or not self._is_exempt():
             return False
         now = asyncio.get_running_loop().time()
-        return sum(self._is_informed(link, now) for link in self._watchers()) >= (
-            LEAST_WATCHERS
+        return sum(self._is_reliable(link, now) for link in self._watcher_links()) >= (
+            MIN_WATCHERS
         )
 
     @callback
@@ -96,22 +96,22 @@
 
         `shortest` is the pause of an instance that watches for others.
         """
-        return LONGEST_PAUSE if self._is_spared() else shortest
+        return MAX_RETRY_DELAY if self._is_exempt() else shortest
 
     @callback
-    def age_version(self, now: float) -> None:
+    def update_settled_version(self, now: float) -> None:
         """Note which version is old enough to be known to all watchers.
 
         Compared with the newest one, watchers seem to know less whenever one of them
         has just told it, and every instance would then watch the store.
         """
-        if now - self._ageing_since >= VERSION_AGE:
-            self._aged_version = self._ageing_version
-            self._ageing_version = self._known_version()
-            self._ageing_since = now
+        if now - self._pending_since >= VERSION_SETTLE_TIME:
+            self._settled_version = self._pending_version
+            self._pending_version = self._known_version()
+            self._pending_since = now
 
     @callback
-    def _is_spared(self) -> bool:
+    def _is_exempt(self) -> bool:
         """Return whether this instance is not one of those that watch."""
         if not self._is_large() or self._lease.is_held(suspend_aware_now()):
             return False
@@ -120,7 +120,7 @@
     @callback
     def _is_large(self) -> bool:
         """Return whether the fleet is too large for all to watch."""
-        return self._permits.issuers.members > SMALL_FLEET
+        return self._permits.issuers.members > SMALL_FLEET_SIZE
 
     @callback
     def _watcher_names(self) -> set[str]:
@@ -128,7 +128,7 @@
         return self._choose_watchers(self._permits.issuers.peers_by_incarnation)
 
     @callback
-    def _watchers(self) -> list[PeerLink]:
+    def _watcher_links(self) -> list[PeerLink]:
         """Return the links to those that watch."""
         names = self._watcher_names()
         return [
@@ -139,12 +139,12 @@
         ]
 
     @callback
-    def _is_informed(self, link: PeerLink, now: float) -> bool:
+    def _is_reliable(self, link: PeerLink, now: float) -> bool:
         """Return whether a watcher is heard and would tell of a change."""
         heartbeat = link.heartbeat
         return (
             heartbeat is not None
             and link.is_fresh(now)
             and not heartbeat.store_lost
-            and self._told_version(heartbeat) >= self._aged_version
+            and self._announced_version(heartbeat) >= self._settled_version
         )
--- a/tests/router/test_extension_votes.py
+++ b/tests/router/test_extension_votes.py
@@ -53,8 +53,8 @@
     given = []
     for number in range(8):
         lease.clock = number * 0.3
-        given.append(votes.give(holder, lease.clock))
-        assert not votes.give(other, lease.clock)
+        given.append(votes.cast_vote(holder, lease.clock))
+        assert not votes.cast_vote(other, lease.clock)
         if votes._probe is not None:
             await votes._probe
     return lease, given
@@ -93,8 +93,8 @@
     votes = make_votes(lease)
     for number, is_lost in enumerate((False, True, True, False, False)):
         holder = make_link("holder", leads=True, store_lost=is_lost)
-        votes.give(holder, 0.3 * number)
-        votes.give(make_link("other"), 0.3 * number)
+        votes.cast_vote(holder, 0.3 * number)
+        votes.cast_vote(make_link("other"), 0.3 * number)
     remove_destination(messages.append)
     assert [(m["message_type"], m["holder"]) for m in messages] == [
         ("votes_begun", "holder/1"),
--- a/tests/router/test_gossip.py
+++ b/tests/router/test_gossip.py
@@ -14,9 +14,9 @@
 from swiftpin.fleet.proto import fleet_pb2 as pb
 from swiftpin.router.configuration_holder import ConfigurationHolder
 from swiftpin.router.configuration_lag import ConfigurationLag
-from swiftpin.router.document_ask import ANSWER_LIMIT
+from swiftpin.router.document_requester import ANSWER_TIMEOUT
 from swiftpin.router.gossip import Gossip
-from swiftpin.router.holder_view import HOLDER_CATCH_UP
+from swiftpin.router.holder_view import HOLDER_CATCH_UP_TIME
 from tests.router.fleet_fakes import FakeLink
 
 
@@ -75,8 +75,8 @@
 
 def ask_again(gossip: Gossip) -> None:
     """Let a gossip that is behind ask now, though nobody answers."""
-    gossip._targets_ask._behind_since = -1.0
-    gossip._targets_ask._asked_at -= ANSWER_LIMIT
+    gossip._targets_requester._behind_since = -1.0
+    gossip._targets_requester._requested_at -= ANSWER_TIMEOUT
     gossip.ask()
 
 
@@ -130,13 +130,13 @@
     lost.heartbeat.store_lost = True
     links.live_links = lambda: [lost]
     gossip.ask()
-    assert not gossip.holder.is_confirmed()
+    assert not gossip.holder_view.is_confirmed()
     assert not confirmed
     lost.heartbeat.store_lost = False
     gossip.ask()
-    gossip.holder._informed_since -= HOLDER_CATCH_UP
+    gossip.holder_view._connected_since -= HOLDER_CATCH_UP_TIME
     gossip.ask()
-    assert gossip.holder.is_confirmed()
+    assert gossip.holder_view.is_confirmed()
     assert len(confirmed) == 1
 
 
@@ -155,9 +155,9 @@
     links.live_links = lambda: [holder]
     for is_lost in (False, True, False):
         holder.heartbeat.store_lost = is_lost
-        gossip.holder._informed_since -= HOLDER_CATCH_UP
+        gossip.holder_view._connected_since -= HOLDER_CATCH_UP_TIME
         gossip.ask()
-        assert not gossip.holder.is_confirmed()
+        assert not gossip.holder_view.is_confirmed()
 
 
 async def test_members_do_not_confirm_each_other(
@@ -171,7 +171,7 @@
     directory.note_confirmed = pytest.fail
     links.live_links = lambda: [make_link("a", 10), make_link("b", 10)]
     gossip.ask()
-    assert not gossip.holder.is_confirmed()
+    assert not gossip.holder_view.is_confirmed()
 
 
 async def test_holder_that_knows_more_does_not_confirm(
@@ -195,7 +195,7 @@
     for is_lost in (False, True, True, False):
         link.heartbeat.store_lost = is_lost
         gossip.ask()
-        counts.append(gossip.holder.store_reports)
+        counts.append(gossip.holder_view.store_reports)
     assert counts == [0, 1, 1, 2]
 
 
@@ -213,7 +213,7 @@
         link.heartbeat.maps_term = link.heartbeat.maps_number = 1
     links.live_links = lambda: neighbours
     for _ in neighbours:
-        gossip.note_heartbeat()
+        gossip.handle_heartbeat()
     assert asked == ["key_map_ask"]
 
 
@@ -244,7 +244,7 @@
     not know. Cause: nothing caught the error.
     """
     directory.adopt_update = pytest.fail
-    gossip.take_targets(pb.Update(targets=b'[{"name": 3}]', targets_revision=12))
+    gossip.handle_targets(pb.Update(targets=b'[{"name": 3}]', targets_revision=12))
 
 
 @pytest.mark.parametrize(("told", "answers"), [(9, 1), (10, 0)])
@@ -255,7 +255,7 @@
     directory.present_targets = list
     directory.targets_since = lambda revision, now: []
     link = FakeLink("a", targets=told)
-    gossip.give_targets(link, pb.UpdateAsk(targets=8))
+    gossip.send_targets(link, pb.UpdateAsk(targets=8))
     assert [item.WhichOneof("body") for item in link.sent] == ["update"] * answers
 
 
--- a/tests/router/test_heartbeats.py
+++ b/tests/router/test_heartbeats.py
@@ -37,8 +37,8 @@
         self.echoes: list[float] = []
         self.evacuations = Evacuations(5.0)
         votes = SimpleNamespace(
-            give=lambda link, now: True,
-            take=lambda link, echo: self.echoes.append(echo),
+            cast_vote=lambda link, now: True,
+            handle_vote=lambda link, echo: self.echoes.append(echo),
         )
         self.leader = KnownLeader(make_links())
         self.leader.note_record(
@@ -75,7 +75,7 @@
     heartbeat = pb.Heartbeat(
         term=5, leader="c/1", leader_peer="c:1", vote=True, echo=9.0, resigned_term=1
     )
-    member.heartbeats.take(link, heartbeat)
+    member.heartbeats.handle(link, heartbeat)
     assert link.heartbeat is heartbeat
     assert member.echoes == [9.0]
     assert member.lease.resigned_term == 2
@@ -88,7 +88,7 @@
     zone = PlatformObject(name="z1", revision=5, is_deleted=False, document={})
     teller.evacuations.adopt_changes((zone,), 5, NOW - 2.0)
     heartbeat = teller.heartbeats.make(FakeLink("b"), NOW).heartbeat
-    learner.heartbeats.take(FakeLink("a"), heartbeat)
+    learner.heartbeats.handle(FakeLink("a"), heartbeat)
     assert learner.evacuations.is_evacuated("z1")
     assert learner.evacuations.version == 5
     (age,) = heartbeat.evacuated_for
--- a/tests/router/test_issuer_list.py
+++ b/tests/router/test_issuer_list.py
@@ -12,7 +12,10 @@
 from swiftpin.permits.permit_issuers import NO_ISSUERS, PermitIssuers
 from swiftpin.router.fleet_size import MAX_GAP
 from swiftpin.router.issuer_list import IssuerList
-from swiftpin.router.watch_duty import CONFIGURATION_WATCHERS, first_issuers
+from swiftpin.router.watch_duty import (
+    CONFIGURATION_WATCHERS,
+    choose_configuration_watchers,
+)
 from tests.router.fleet_fakes import FakeLink, make_links
 
 TERM = 5
@@ -50,8 +53,8 @@
     """A list that has not changed is not told again."""
     link = FakeLink("a")
     chooser = Chooser(link)
-    chooser.list.choose(NOW)
-    chooser.list.choose(NOW)
+    chooser.list.update(NOW)
+    chooser.list.update(NOW)
     assert chooser.chosen == {"own/1", "a/1"}
     (item,) = link.sent
     assert (item.issuers.term, item.issuers.members) == (TERM, 2)
@@ -61,10 +64,10 @@
 def test_instances_that_leave_issue_nothing() -> None:
     """An issuer that ends takes the permits of its targets with it."""
     chooser = Chooser(FakeLink("a"), FakeLink("b", stopping=True))
-    chooser.list.choose(NOW)
+    chooser.list.update(NOW)
     assert chooser.chosen == {"own/1", "a/1"}
     chooser.lifecycle.leaving = True
-    chooser.list.choose(NOW)
+    chooser.list.update(NOW)
     assert chooser.chosen == {"a/1"}
 
 
@@ -72,7 +75,7 @@
     """Failure: the shares of instances that ended, and still sent, were given away."""
     chooser = Chooser(FakeLink("a"), FakeLink("b", stopping=True))
     chooser.lifecycle.leaving = True
-    chooser.list.choose(NOW)
+    chooser.list.update(NOW)
     assert chooser.permits.issuers.members == 3
 
 
@@ -80,12 +83,12 @@
     """Failure: the share of one that was cut off, and still sent, was given away."""
     links = [FakeLink(f"m-{number}") for number in range(7)]
     chooser = Chooser(*links)
-    chooser.list.choose(NOW)
+    chooser.list.update(NOW)
     told = chooser.permits.issuers.members
     chooser.list._links = make_links()
-    chooser.list.choose(NOW + MAX_GAP)
+    chooser.list.update(NOW + MAX_GAP)
     assert chooser.permits.issuers.members == told
-    chooser.list.choose(NOW + MAX_GAP + 0.1)
+    chooser.list.update(NOW + MAX_GAP + 0.1)
     assert chooser.permits.issuers.members == 1
 
 
@@ -93,11 +96,11 @@
     """Failure: one member more in eight was told to nobody."""
     links = [FakeLink(f"m-{number}") for number in range(7)]
     chooser = Chooser(*links)
-    chooser.list.choose(NOW)
+    chooser.list.update(NOW)
     for number in range(7, 20):
         links.append(FakeLink(f"m-{number}"))
         chooser.list._links = make_links(*links)
-        chooser.list.choose(NOW)
+        chooser.list.update(NOW)
         assert chooser.permits.issuers.members > len(links)
 
 
@@ -105,9 +108,9 @@
     """Members keep to the list of the newest term only."""
     link = FakeLink("a")
     chooser = Chooser(link)
-    chooser.list.choose(NOW)
+    chooser.list.update(NOW)
     chooser.lease.term += 1
-    chooser.list.choose(NOW)
+    chooser.list.update(NOW)
     assert [item.issuers.term for item in link.sent] == [TERM, TERM + 1]
 
 
@@ -115,7 +118,7 @@
     """A list that was overtaken on its way changes nothing."""
     chooser = Chooser()
     for number, name in ((2, "new/1"), (1, "old/1")):
-        chooser.list.take(
+        chooser.list.adopt(
             PermitIssuers(
                 term=TERM, number=number, peers_by_incarnation={name: ""}, members=1
             )
@@ -130,14 +133,14 @@
     for link in links:
         link.strength = 4.0
     chooser = Chooser(*links, targets=100)
-    chooser.list.choose(NOW)
+    chooser.list.update(NOW)
     lost = links[0]
     assert lost.heartbeat is not None
-    assert lost.incarnation in first_issuers(
+    assert lost.incarnation in choose_configuration_watchers(
         chooser.permits.issuers.peers_by_incarnation
     )
     lost.heartbeat.store_lost = True
-    chooser.list.choose(NOW)
+    chooser.list.update(NOW)
     issuers = chooser.permits.issuers.peers_by_incarnation
-    assert lost.incarnation not in first_issuers(issuers)
+    assert lost.incarnation not in choose_configuration_watchers(issuers)
     assert len(links[1].sent) == 2
--- a/tests/router/test_key_map_sharing.py
+++ b/tests/router/test_key_map_sharing.py
@@ -55,7 +55,7 @@
     change = OwnerChange(first=5, last=9, owner="t2")
     make_sharing(sender, link).hand_out(make_map(1).with_changes([change]))
     sharing = make_sharing(maps)
-    sharing.take_change(link, link.sent[0].key_map_change)
+    sharing.handle_change(link, link.sent[0].key_map_change)
     assert [maps.owner_of(SERVICE, key) for key in (4, 5, 9, 10)] == [
         "t1",
         "t2",
@@ -81,6 +81,6 @@
     link = FakeLink("b")
     asked: list[PeerLink] = []
     sharing = KeyMapSharing(make_links(), maps, asked.append)
-    sharing.take_change(link, source.sent[0].key_map_change)
+    sharing.handle_change(link, source.sent[0].key_map_change)
     assert asked == [link] * asks
     assert maps.maps_by_service[SERVICE] == make_map(1)
--- a/tests/router/test_known_leader.py
+++ b/tests/router/test_known_leader.py
@@ -6,7 +6,7 @@
 
 from swiftpin.fleet.proto import fleet_pb2 as pb
 from swiftpin.keyranges.lease_record import LeaseRecord
-from swiftpin.router.known_leader import LEADER_SILENCE, KnownLeader
+from swiftpin.router.known_leader import LEADER_HEARTBEAT_TIMEOUT, KnownLeader
 from tests.router.fleet_fakes import FakeLink, make_links
 
 
@@ -39,8 +39,8 @@
 def test_holder_is_heard_for_a_while_and_only_if_it_leads() -> None:
     """Candidates look at the lease once its holder has been silent."""
     leader = KnownLeader(make_links(FakeLink("a", leads=True, term=2)))
-    assert leader.is_heard(2, LEADER_SILENCE - 0.01)
-    assert not leader.is_heard(2, LEADER_SILENCE)
+    assert leader.is_heard(2, LEADER_HEARTBEAT_TIMEOUT - 0.01)
+    assert not leader.is_heard(2, LEADER_HEARTBEAT_TIMEOUT)
     follower = FakeLink("b", leads=False, term=2)
     assert not KnownLeader(make_links(follower)).is_heard(2, 0.0)
     assert not KnownLeader(make_links()).is_heard(0, 0.0)
--- a/tests/router/test_leader.py
+++ b/tests/router/test_leader.py
@@ -39,17 +39,17 @@
         configuration=cast(ConfigurationHolder, configuration),
         make_assigner=make_assigner,
     )
-    leader._keep()
+    leader._run_assigners()
     assert not lease.wants_next_term
     made[0].take(FENCES_A_TERM - 1)
-    leader._keep()
+    leader._run_assigners()
     assert lease.wants_next_term
     lease.term, lease.wants_next_term = 4, False
-    leader._keep()
-    leader._keep()
+    leader._run_assigners()
+    leader._run_assigners()
     assert len(made) == 2
     assert not lease.wants_next_term
-    leader._drop_all()
+    leader._stop_assigners()
 
 
 async def test_instance_that_has_just_started_may_lead_at_once() -> None:
--- a/tests/router/test_load_reports.py
+++ b/tests/router/test_load_reports.py
@@ -13,10 +13,10 @@
 from swiftpin.router.fleet_messages import LoadReport
 from swiftpin.router.known_leader import KnownLeader
 from swiftpin.router.load_reports import (
-    REPORT_PAUSE,
-    REPORTERS,
+    FULL_RATE_MEMBERS,
+    MIN_REPORT_INTERVAL,
     LoadReports,
-    report_pause,
+    report_interval,
 )
 from tests.router.fleet_fakes import FakeLink, make_links
 
@@ -28,8 +28,8 @@
     Sequence: 72 instances reported their load five times a second each. Cause: the pace
     of one instance did not depend on how many there are.
     """
-    assert members / report_pause(members) <= REPORTERS / REPORT_PAUSE
-    assert report_pause(members) >= REPORT_PAUSE
+    assert members / report_interval(members) <= FULL_RATE_MEMBERS / MIN_REPORT_INTERVAL
+    assert report_interval(members) >= MIN_REPORT_INTERVAL
 
 
 def make_report() -> LoadReport:
--- a/tests/router/test_silent_watches.py
+++ b/tests/router/test_silent_watches.py
@@ -26,7 +26,7 @@
     store = site.store
     await site.async_wait(
         lambda: all(
-            router._fleet.gossip.holder.is_confirmed()
+            router._fleet.gossip.holder_view.is_confirmed()
             or router._lease.is_held(suspend_aware_now())
             for router in site.routers_by_name.values()
         )
--- a/tests/router/test_watch_duty.py
+++ b/tests/router/test_watch_duty.py
@@ -16,12 +16,12 @@
     CONFIGURATION_WATCHERS as WATCHERS,
 )
 from swiftpin.router.watch_duty import (
-    LEAST_WATCHERS,
-    LONGEST_PAUSE,
-    SMALL_FLEET,
-    VERSION_AGE,
+    MAX_RETRY_DELAY,
+    MIN_WATCHERS,
+    SMALL_FLEET_SIZE,
+    VERSION_SETTLE_TIME,
     WatchDuty,
-    first_issuers,
+    choose_configuration_watchers,
 )
 
 MakeDuty = Callable[..., WatchDuty]
@@ -66,7 +66,7 @@
         issuers: int,
         *,
         holds_lease: bool = False,
-        watchers: Callable[[Iterable[str]], set[str]] = first_issuers,
+        watchers: Callable[[Iterable[str]], set[str]] = choose_configuration_watchers,
     ) -> WatchDuty:
         peers = {f"issuer-{number}": "" for number in range(issuers)}
         lists = SimpleNamespace(members=members, peers_by_incarnation=peers)
@@ -79,8 +79,8 @@
         return WatchDuty(
             incarnation=name,
             known_version=lambda: directory.version,
-            told_version=lambda heartbeat: int(heartbeat.targets),
-            watchers=watchers,
+            announced_version=lambda heartbeat: int(heartbeat.targets),
+            choose_watchers=watchers,
             **rest,
         )
 
@@ -90,7 +90,7 @@
 @pytest.fixture(name="duty")
 def duty_fixture(make_duty: MakeDuty) -> WatchDuty:
     """Return the duty of a member of a large fleet that issues nothing."""
-    return make_duty("me", SMALL_FLEET + 1, WATCHERS + 1)
+    return make_duty("me", SMALL_FLEET_SIZE + 1, WATCHERS + 1)
 
 
 def link_all(links: SimpleNamespace, issuers: int, *, targets: int = 10) -> None:
@@ -119,7 +119,7 @@
 ) -> None:
     """A few more calls cost less there than news that come late."""
     link_all(links, WATCHERS)
-    assert not make_duty("me", SMALL_FLEET, WATCHERS).is_skipped()
+    assert not make_duty("me", SMALL_FLEET_SIZE, WATCHERS).is_skipped()
 
 
 async def test_issuers_that_do_not_watch_are_not_relied_on(
@@ -136,7 +136,7 @@
 ) -> None:
     """All of a large fleet watched whenever the last heartbeats were a little older."""
     link_all(links, WATCHERS)
-    duty.age_version(100.0)
+    duty.update_settled_version(100.0)
     directory.version = 12
     assert duty.is_skipped()
 
@@ -148,7 +148,7 @@
     link_all(links, WATCHERS)
     directory.version = 12
     for number in range(3):
-        duty.age_version(100.0 + number * VERSION_AGE)
+        duty.update_settled_version(100.0 + number * VERSION_SETTLE_TIME)
     assert not duty.is_skipped()
 
 
@@ -158,7 +158,7 @@
     """A store that turned the watchers away kept changes from the whole fleet."""
     link_all(links, WATCHERS)
     watchers = list(links.outgoing_by_peer.values())
-    for link in watchers[: len(watchers) - LEAST_WATCHERS + 1]:
+    for link in watchers[: len(watchers) - MIN_WATCHERS + 1]:
         link.heartbeat.store_lost = True
     assert not duty.is_skipped()
 
@@ -189,7 +189,7 @@
     make_duty: MakeDuty, members: int
 ) -> None:
     """Hundreds of instances that each tried again every second were too many."""
-    assert make_duty("me", members, WATCHERS).longest_pause(1.0) == LONGEST_PAUSE
+    assert make_duty("me", members, WATCHERS).longest_pause(1.0) == MAX_RETRY_DELAY
     assert make_duty("issuer-0", members, WATCHERS).longest_pause(1.0) == 1.0
     holder = make_duty("me", members, WATCHERS, holds_lease=True)
     assert holder.longest_pause(1.0) == 1.0
