--- a/swiftpin/router/document_requester.py
+++ b/swiftpin/router/document_requester.py
@@ -93,7 +93,7 @@
         link = self._pending_link
         if link is None or link.is_closed:
             return False
-        return now - max(self._requested_at, link.fragment_at) < ANSWER_TIMEOUT
+        return now - max(self._requested_at, link.last_fragment_at) < ANSWER_TIMEOUT
 
     @callback
     def _choose_neighbour(self, ahead: list[PeerLink], now: float) -> PeerLink:
@@ -103,6 +103,6 @@
         asks it alone learns of a leaving target that much later. Each instance chooses
         at random, since many fall behind at the same moment.
         """
-        heard = [link for link in ahead if link.is_fresh(now)] or ahead
+        heard = [link for link in ahead if link.is_responsive(now)] or ahead
         others = [link for link in heard if link.incarnation != self._last_requested]
         return self._rng.choice(others or heard)
--- a/tests/router/test_document_requester.py
+++ b/tests/router/test_document_requester.py
@@ -49,7 +49,7 @@
     now = 1.0
     for _ in range(20):
         now += STEP
-        member.requested_links[0].fragment_at = now
+        member.requested_links[0].last_fragment_at = now
         member.requester.update(now + STEP)
     assert len(member.requested_links) == 1
 
