--- a/swiftpin/router/app.py
+++ b/swiftpin/router/app.py
@@ -112,7 +112,7 @@
             fleet_size=self._fleet_size,
         )
         self._metrics.add_links(self._fleet.links.traffic)
-        self._lease.on_seen = self._fleet.known_leader.note_record
+        self._lease.on_seen = self._fleet.known_leader.adopt_record
         self._assigner_factory = AssignerFactory(
             settings=settings,
             client=self._store,
@@ -260,7 +260,7 @@
     def _is_holder_alive(self, term: int) -> bool:
         """Return whether another instance holds the lease, in a term or a later one."""
         now = asyncio.get_running_loop().time()
-        return self._fleet.known_leader.is_heard(term, now)
+        return self._fleet.known_leader.is_holder_alive(term, now)
 
     @callback
     def _has_live_links(self) -> bool:
--- a/swiftpin/router/assigner_factory.py
+++ b/swiftpin/router/assigner_factory.py
@@ -71,7 +71,7 @@
             health=self._health,
             longest_hold=self.settings.bounds.max_hold,
             health_path=configuration.services_by_name[service].health_path,
-            on_map=self._key_maps.hand_out,
+            on_map=self._key_maps.publish,
             count_members=lambda: self._permits.issuers.members,
             longest_request=self._max_request_time,
             declared=partial(
--- a/swiftpin/router/configuration_holder.py
+++ b/swiftpin/router/configuration_holder.py
@@ -64,7 +64,7 @@
         return 0 if self.current is None else self.current.version
 
     @callback
-    def note_told(self, version: int, now: float) -> None:
+    def note_announced_version(self, version: int, now: float) -> None:
         """Note that another instance has a version in force."""
         self.lag.note_told(version, self.version, now)
 
--- a/swiftpin/router/fleet_coordinator.py
+++ b/swiftpin/router/fleet_coordinator.py
@@ -36,7 +36,7 @@
 from swiftpin.router.poison_reports import PoisonReports
 from swiftpin.router.poison_watch import PoisonWatch
 
-TICK: Final = 0.2
+UPDATE_INTERVAL: Final = 0.2
 """Seconds between two looks at links, issuers and reports."""
 
 
@@ -124,13 +124,15 @@
                 self._issuer_list.update(now)
             self._update_fleet_size(now)
             self._poison_reports.report(now)
-            self.gossip.ask()
+            self.gossip.request_updates()
             if now >= report_at:
                 report_at = (
-                    now + report_interval(self._permits.issuers.members) - TICK / 2
+                    now
+                    + report_interval(self._permits.issuers.members)
+                    - UPDATE_INTERVAL / 2
                 )
                 self.load_reports.send(collect_load_report(), now)
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(UPDATE_INTERVAL)
 
     @callback
     def handle_item(self, link: PeerLink, item: Item) -> None:
@@ -165,9 +167,9 @@
             case "hello":
                 self._handle_hello(link, item.hello)
             case "configuration_ask":
-                self.gossip.give_configuration(link, item.configuration_ask)
+                self.gossip.send_configuration(link, item.configuration_ask)
             case "configuration":
-                self.gossip.take_configuration(item.configuration)
+                self.gossip.handle_configuration(item.configuration)
             case "update_ask":
                 self.gossip.send_targets(link, item.update_ask)
             case "update":
@@ -210,7 +212,7 @@
                 return
             term = link.heartbeat.term
         if issuers.number and issuers.term == term:
-            self._fleet_size.note_told(issuers.members, now)
+            self._fleet_size.record_member_count(issuers.members, now)
 
     @callback
     def _request_key_maps(self, link: PeerLink) -> None:
--- a/swiftpin/router/fleet_messages.py
+++ b/swiftpin/router/fleet_messages.py
@@ -18,7 +18,7 @@
     counts_by_service: dict[str, dict[int, int]] = field(default_factory=dict)
     seconds_by_target: dict[tuple[str, str], list[float]] = field(default_factory=dict)
     failures_by_target: dict[tuple[str, str], int] = field(default_factory=dict)
-    cut_seconds_by_target: dict[tuple[str, str], list[float]] = field(
+    abandoned_seconds_by_target: dict[tuple[str, str], list[float]] = field(
         default_factory=dict
     )
 
@@ -27,7 +27,7 @@
         counts = self.counts_by_service.setdefault(service, {})
         counts[key] = counts.get(key, 0) + 1
 
-    def add_time(self, service: str, target: str, seconds: float | None) -> None:
+    def add_duration(self, service: str, target: str, seconds: float | None) -> None:
         """Note a request's time at a target, None when it failed."""
         if seconds is None:
             failures = self.failures_by_target
@@ -35,9 +35,11 @@
         else:
             self.seconds_by_target.setdefault((service, target), []).append(seconds)
 
-    def add_cut(self, service: str, target: str, seconds: float) -> None:
+    def add_abandoned(self, service: str, target: str, seconds: float) -> None:
         """Note a request that was given up after some seconds at a target."""
-        self.cut_seconds_by_target.setdefault((service, target), []).append(seconds)
+        self.abandoned_seconds_by_target.setdefault((service, target), []).append(
+            seconds
+        )
 
 
 def encode_load(report: LoadReport) -> Item:
@@ -48,7 +50,7 @@
     pairs = (
         report.seconds_by_target.keys()
         | report.failures_by_target.keys()
-        | report.cut_seconds_by_target.keys()
+        | report.abandoned_seconds_by_target.keys()
     )
     for service, target in pairs:
         message.times.add(
@@ -56,7 +58,7 @@
             target=target,
             seconds=report.seconds_by_target.get((service, target), ()),
             failures=report.failures_by_target.get((service, target), 0),
-            cut_seconds=report.cut_seconds_by_target.get((service, target), ()),
+            cut_seconds=report.abandoned_seconds_by_target.get((service, target), ()),
         )
     return pb.Item(load=message)
 
--- a/swiftpin/router/fleet_size.py
+++ b/swiftpin/router/fleet_size.py
@@ -7,15 +7,15 @@
 
 from swiftpin.core import callback
 
-MAX_GAP: Final = 3.0
+MAX_HOLDER_SILENCE: Final = 3.0
 """Seconds without the holder of the lease after which an instance counts as cut off;
 longer than a takeover."""
 
-TELL_TIME: Final = MAX_GAP + 2.0
+ANNOUNCEMENT_TIME: Final = MAX_HOLDER_SILENCE + 2.0
 """Seconds after which everyone has been told of an instance that is in touch with the
 holder, or counts as cut off."""
 
-MEMORY: Final = 60.0
+COUNT_RETENTION: Final = 60.0
 """Seconds for which a count is remembered. A new holder hears the members one after the
 other and tells too few of them at first."""
 
@@ -40,7 +40,7 @@
         self._counts: deque[tuple[float, int]] = deque()
 
     @callback
-    def note_told(self, members: int, now: float) -> None:
+    def record_member_count(self, members: int, now: float) -> None:
         """Take the count that the holder, heard at present, has told."""
         if not self._is_connected(now):
             self._connected_since = now
@@ -48,7 +48,7 @@
         while self._counts and self._counts[-1][1] <= members:
             self._counts.pop()
         self._counts.append((now, members))
-        while now - self._counts[0][0] > MEMORY:
+        while now - self._counts[0][0] > COUNT_RETENTION:
             self._counts.popleft()
 
     @callback
@@ -58,20 +58,23 @@
         None while this instance takes no share.
         """
         in_touch = now - self._connected_since if self._is_connected(now) else 0.0
-        if in_touch < window + TELL_TIME:
+        if in_touch < window + ANNOUNCEMENT_TIME:
             return None
         return self._counts[0][1]
 
     @callback
     def _is_connected(self, now: float) -> bool:
         """Return whether a holder was heard lately."""
-        return self._last_heard_at is not None and now - self._last_heard_at <= MAX_GAP
+        return (
+            self._last_heard_at is not None
+            and now - self._last_heard_at <= MAX_HOLDER_SILENCE
+        )
 
 
 @callback
-def members_to_tell(members: int, told: int) -> int:
+def member_count_to_announce(members: int, announced: int) -> int:
     """Return the count to tell, at least the members; `told` was told last."""
     most = members + members // HEADROOM_DIVISOR
-    if members <= told <= most + members // HEADROOM_DIVISOR + 1:
-        return told
+    if members <= announced <= most + members // HEADROOM_DIVISOR + 1:
+        return announced
     return most
--- a/swiftpin/router/gossip.py
+++ b/swiftpin/router/gossip.py
@@ -111,7 +111,7 @@
             self._directory.note_confirmed(suspend_aware_now() - GOSSIP_LAG)
 
     @callback
-    def ask(self) -> None:
+    def request_updates(self) -> None:
         """Ask neighbours that know something newer for it."""
         now = asyncio.get_running_loop().time()
         self.targets_duty.update_settled_version(now)
@@ -148,7 +148,7 @@
         link.send(pb.Item(update_ask=pb.UpdateAsk(targets=self._directory.version)))
 
     @callback
-    def give_configuration(self, link: PeerLink, ask: Item) -> None:
+    def send_configuration(self, link: PeerLink, ask: Item) -> None:
         """Answer a neighbour whose configuration is an older one."""
         link.send_document(partial(self._make_configuration, link, ask))
 
@@ -186,7 +186,7 @@
         self._key_maps_requester.note_answer()
 
     @callback
-    def take_configuration(self, message: Item) -> None:
+    def handle_configuration(self, message: Item) -> None:
         """Take the configuration that a neighbour knows."""
         self._configuration.adopt_packed(
             message.packed,
--- a/swiftpin/router/heartbeats.py
+++ b/swiftpin/router/heartbeats.py
@@ -77,7 +77,7 @@
         """Take a heartbeat that came over a link."""
         link.heartbeat = heartbeat
         now = suspend_aware_now()
-        self._configuration.note_told(heartbeat.configuration, now)
+        self._configuration.note_announced_version(heartbeat.configuration, now)
         zones = heartbeat.evacuated_zones
         ages_by_zone = dict(zip(zones, heartbeat.evacuated_for, strict=False))
         self._directory.evacuations.adopt_update(
@@ -87,4 +87,4 @@
             self._votes.handle_vote(link, heartbeat.echo)
         lease = self._lease
         lease.resigned_term = max(lease.resigned_term, heartbeat.resigned_term)
-        self._leader.note_heartbeat(heartbeat)
+        self._leader.adopt_heartbeat(heartbeat)
--- a/swiftpin/router/issuer_list.py
+++ b/swiftpin/router/issuer_list.py
@@ -16,7 +16,7 @@
 from swiftpin.permits.permit_broker import PermitBroker
 from swiftpin.permits.permit_issuers import PermitIssuers
 from swiftpin.router.fleet_messages import encode_issuers
-from swiftpin.router.fleet_size import MAX_GAP, members_to_tell
+from swiftpin.router.fleet_size import MAX_HOLDER_SILENCE, member_count_to_announce
 from swiftpin.router.watch_duty import choose_configuration_watchers
 
 MAX_CANDIDATES: Final = 16
@@ -66,7 +66,7 @@
         )
         chosen = self._order_for_watching(chosen)
         issuers = {name: members[name][1] for name in chosen}
-        count = members_to_tell(self._count_members(now), present.members)
+        count = member_count_to_announce(self._count_members(now), present.members)
         is_same = (
             issuers == present.peers_by_incarnation
             and choose_configuration_watchers(issuers)
@@ -131,7 +131,7 @@
         self._seen_at_by_incarnation = {
             incarnation: seen_at
             for incarnation, seen_at in self._seen_at_by_incarnation.items()
-            if now - seen_at <= MAX_GAP
+            if now - seen_at <= MAX_HOLDER_SILENCE
         }
         return len(self._seen_at_by_incarnation) + 1
 
--- a/swiftpin/router/key_map_sharing.py
+++ b/swiftpin/router/key_map_sharing.py
@@ -34,7 +34,7 @@
         """Called with the neighbour that sent a change of a map that is not known."""
 
     @callback
-    def hand_out(self, key_map: KeyMap) -> None:
+    def publish(self, key_map: KeyMap) -> None:
         """Give a new map to everyone, as far as it differs from the last one.
 
         The whole map of 200 targets takes 10 KB, and each move changes it twice.
--- a/swiftpin/router/key_maps.py
+++ b/swiftpin/router/key_maps.py
@@ -74,7 +74,7 @@
         )
 
     @callback
-    def note_denied(self, service: str, key: int, now: float) -> None:
+    def record_denial(self, service: str, key: int, now: float) -> None:
         """Note that the owner of a key said that it does not hold it."""
         key_map = self.maps_by_service.get(service)
         if key_map is None:
@@ -100,7 +100,7 @@
         key_map = self.maps_by_service.get(service)
         return "" if key_map is None else key_map.owner_of(key)
 
-    async def async_wait_change(self, service: str) -> None:
+    async def async_wait_for_change(self, service: str) -> None:
         """Wait until a service's map changes."""
         changed = self._changes_by_service.setdefault(service, asyncio.Event())
         await changed.wait()
--- a/swiftpin/router/known_leader.py
+++ b/swiftpin/router/known_leader.py
@@ -22,13 +22,13 @@
         self._links = links
 
     @callback
-    def note_record(self, record: LeaseRecord) -> None:
+    def adopt_record(self, record: LeaseRecord) -> None:
         """Take a record that was read or written in the store."""
         if (record.term, record.renewal) >= (self.record.term, self.record.renewal):
             self.record = record
 
     @callback
-    def note_heartbeat(self, heartbeat: pb.Heartbeat) -> None:
+    def adopt_heartbeat(self, heartbeat: pb.Heartbeat) -> None:
         """Take what another instance knows, if its term is newer."""
         if heartbeat.term <= self.record.term:
             return
@@ -40,7 +40,7 @@
         )
 
     @callback
-    def is_heard(self, term: int, now: float) -> bool:
+    def is_holder_alive(self, term: int, now: float) -> bool:
         """Return whether another instance says that it holds the lease, since a term.
 
         `now` is on the event loop's clock, as the times of links are.
--- a/swiftpin/router/owner_finder.py
+++ b/swiftpin/router/owner_finder.py
@@ -91,6 +91,6 @@
         """Wait until the service's key map changes, at most until a time."""
         try:
             async with asyncio.timeout_at(until):
-                await self._maps.async_wait_change(call.service)
+                await self._maps.async_wait_for_change(call.service)
         except TimeoutError:
             return
--- a/swiftpin/router/planned_stop.py
+++ b/swiftpin/router/planned_stop.py
@@ -15,7 +15,7 @@
 from swiftpin.keyranges.lease_election import LeaseElection
 from swiftpin.router.request_handler import RequestHandler
 
-BALANCER_TIME: Final = 2.4
+BALANCER_REMOVAL_TIME: Final = 2.4
 """Seconds for which a leaving instance still listens: the balancer asks once a second
 and takes it out after two refusals."""
 
@@ -57,7 +57,7 @@
         loop = asyncio.get_running_loop()
         began_at = loop.time()
         ends_at = began_at + grace - STOP_MARGIN
-        listens_until = began_at + BALANCER_TIME
+        listens_until = began_at + BALANCER_REMOVAL_TIME
         waits_until = began_at + grace * QUEUE_WAIT_SHARE
         while loop.time() < ends_at:
             if not self._must_keep_lease(suspend_aware_now()):
--- a/swiftpin/router/target_exchange.py
+++ b/swiftpin/router/target_exchange.py
@@ -98,7 +98,7 @@
                 call.note(StepFailure.GIVEN_UP, f"{permit.target} had it to the end")
             elapsed = asyncio.get_running_loop().time() - began_at
             self._permits.end(permit, elapsed, failed=False, cut=True)
-            self.load.add_cut(call.service, permit.target, elapsed)
+            self.load.add_abandoned(call.service, permit.target, elapsed)
             raise
         finally:
             call.sends += state.written
@@ -162,7 +162,7 @@
         except BaseException:
             answer.abort()
             raise
-        self.load.add_time(call.service, permit.target, None if failed else elapsed)
+        self.load.add_duration(call.service, permit.target, None if failed else elapsed)
         call.status = answer.status
         return Received(answer=answer, first=first, began_at=answered_at)
 
@@ -189,7 +189,7 @@
         lacks_key = False
         if answer.status == HTTPStatus.MISDIRECTED_REQUEST and key is not None:
             lacks_key = True
-            self._maps.note_denied(call.service, key, suspend_aware_now())
+            self._maps.record_denial(call.service, key, suspend_aware_now())
         target = self._directory.targets_by_id.get(permit.target)
         if target is not None and head.instance not in (None, target.name):
             # The target is gone and its address belongs to another one by now.
@@ -214,7 +214,7 @@
         """Note a send that brought no answer."""
         self._note_step(call, permit, failure, reason)
         self._permits.end(permit, 0.0, failed=True)
-        self.load.add_time(call.service, permit.target, None)
+        self.load.add_duration(call.service, permit.target, None)
 
     @callback
     def _note_step(
--- a/tests/keyranges/test_late_renewals.py
+++ b/tests/keyranges/test_late_renewals.py
@@ -165,7 +165,7 @@
         lease=lease,
         health=health,
         permits=PermitBroker("a/1", "z"),
-        key_maps=cast(KeyMapSharing, SimpleNamespace(hand_out=lambda key_map: None)),
+        key_maps=cast(KeyMapSharing, SimpleNamespace(publish=lambda key_map: None)),
     )
     lease.note_willing()
     await lease._async_wait_turn(suspend_aware_now())
--- a/tests/router/retry_fleet.py
+++ b/tests/router/retry_fleet.py
@@ -15,7 +15,7 @@
 from swiftpin.exceptions import RequestError
 from swiftpin.model.bounds import Bounds
 from swiftpin.router.call import Call
-from swiftpin.router.fleet_size import FleetSize, members_to_tell
+from swiftpin.router.fleet_size import FleetSize, member_count_to_announce
 from swiftpin.router.retry_policy import RetryPolicy
 from tests.router.calls import SERVICE, make_call
 
@@ -207,7 +207,7 @@
         if holder is None:
             return
         linked = [other for other in self._reachable() if self._is_linked(other)]
-        self._told = members_to_tell(len(linked), self._told)
+        self._told = member_count_to_announce(len(linked), self._told)
         for instance in linked:
             heard_at = self.now + self.random.uniform(0.0, TICK)
             hear = partial(self._hear, instance, self._told)
@@ -215,7 +215,7 @@
 
     def _hear(self, instance: Instance, members: int) -> None:
         """Have an instance hear the holder."""
-        instance.fleet_size.note_told(members, self.now)
+        instance.fleet_size.record_member_count(members, self.now)
 
     def _reachable(self) -> list[Instance]:
         """Return the instances that are not cut off."""
--- a/tests/router/site.py
+++ b/tests/router/site.py
@@ -129,7 +129,7 @@
         self._hosts = count(1)
         self._session: ClientSession | None = None
         monkeypatch.setattr(listeners, "METRICS_PORT", 0)
-        monkeypatch.setattr(planned_stop, "BALANCER_TIME", 0.2)
+        monkeypatch.setattr(planned_stop, "BALANCER_REMOVAL_TIME", 0.2)
         monkeypatch.setattr(directory_module, "FIRST_LIST_SETTLE", 0.0)
 
     def earn_retries(self) -> None:
--- a/tests/router/slow_links.py
+++ b/tests/router/slow_links.py
@@ -16,7 +16,7 @@
 from swiftpin.fleet.proto import fleet_pb2 as pb
 from swiftpin.platform.platform_object import PlatformObject
 from swiftpin.router.configuration_holder import ConfigurationHolder
-from swiftpin.router.fleet_coordinator import TICK
+from swiftpin.router.fleet_coordinator import UPDATE_INTERVAL
 from swiftpin.router.gossip import Gossip
 from tests.router.site import configuration, route
 
@@ -136,9 +136,9 @@
                 self.heartbeat_delays.append(now - item.heartbeat.sent_at)
                 link.heartbeat = item.heartbeat
             case "configuration_ask":
-                self.gossip.give_configuration(link, item.configuration_ask)
+                self.gossip.send_configuration(link, item.configuration_ask)
             case "configuration":
-                self.gossip.take_configuration(item.configuration)
+                self.gossip.handle_configuration(item.configuration)
 
     def adopt_from_store(self, document: dict[str, Any]) -> None:
         """Take a configuration that a watch brought."""
@@ -153,8 +153,8 @@
     async def async_run(self) -> None:
         """Ask for news until cancelled."""
         while True:
-            self.gossip.ask()
-            await asyncio.sleep(TICK)
+            self.gossip.request_updates()
+            await asyncio.sleep(UPDATE_INTERVAL)
 
     async def async_serve_callers(self) -> None:
         """Load the link with callers' requests until cancelled."""
--- a/tests/router/test_fleet_size.py
+++ b/tests/router/test_fleet_size.py
@@ -5,15 +5,15 @@
 import pytest
 
 from swiftpin.router.fleet_size import (
-    MAX_GAP,
-    MEMORY,
-    TELL_TIME,
+    ANNOUNCEMENT_TIME,
+    COUNT_RETENTION,
+    MAX_HOLDER_SILENCE,
     FleetSize,
-    members_to_tell,
+    member_count_to_announce,
 )
 
 WINDOW = 10.0
-SETTLED = WINDOW + TELL_TIME
+SETTLED = WINDOW + ANNOUNCEMENT_TIME
 
 
 @pytest.fixture(name="size")
@@ -27,7 +27,7 @@
 def hear(size: FleetSize, members: int, begin: float, end: float) -> None:
     """Have an instance hear the holder once a second."""
     for seconds in range(round(end - begin) + 1):
-        size.note_told(members, begin + seconds)
+        size.record_member_count(members, begin + seconds)
 
 
 def test_instance_that_never_heard_a_holder_has_no_share() -> None:
@@ -43,9 +43,9 @@
 
 def test_instance_that_is_cut_off_has_no_share(size: FleetSize) -> None:
     """Failure: those cut off and those who counted them out spent the same share."""
-    assert size.members(WINDOW, SETTLED + MAX_GAP) == 8
-    assert size.members(WINDOW, SETTLED + MAX_GAP + 0.1) is None
-    back_at = SETTLED + MAX_GAP + 1
+    assert size.members(WINDOW, SETTLED + MAX_HOLDER_SILENCE) == 8
+    assert size.members(WINDOW, SETTLED + MAX_HOLDER_SILENCE + 0.1) is None
+    back_at = SETTLED + MAX_HOLDER_SILENCE + 1
     hear(size, 8, back_at, back_at + SETTLED)
     assert size.members(WINDOW, back_at + SETTLED - 0.1) is None
     assert size.members(WINDOW, back_at + SETTLED) == 8
@@ -53,21 +53,21 @@
 
 def test_takeover_keeps_the_share(size: FleetSize) -> None:
     """The time until there is a new holder does not count as being cut off."""
-    size.note_told(8, SETTLED + MAX_GAP)
-    assert size.members(WINDOW, SETTLED + MAX_GAP) == 8
+    size.record_member_count(8, SETTLED + MAX_HOLDER_SILENCE)
+    assert size.members(WINDOW, SETTLED + MAX_HOLDER_SILENCE) == 8
 
 
 def test_count_that_falls_is_not_believed_for_a_while(size: FleetSize) -> None:
     """Failure: a new holder told of the few members that it had heard so far."""
-    hear(size, 3, SETTLED + 1, SETTLED + MEMORY)
-    assert size.members(WINDOW, SETTLED + MEMORY) == 8
-    size.note_told(3, SETTLED + MEMORY + 0.1)
-    assert size.members(WINDOW, SETTLED + MEMORY + 0.1) == 3
+    hear(size, 3, SETTLED + 1, SETTLED + COUNT_RETENTION)
+    assert size.members(WINDOW, SETTLED + COUNT_RETENTION) == 8
+    size.record_member_count(3, SETTLED + COUNT_RETENTION + 0.1)
+    assert size.members(WINDOW, SETTLED + COUNT_RETENTION + 0.1) == 3
 
 
 def test_count_that_rises_is_taken_at_once(size: FleetSize) -> None:
     """Instances that were added have their share from all others."""
-    size.note_told(16, SETTLED + 1)
+    size.record_member_count(16, SETTLED + 1)
     assert size.members(WINDOW, SETTLED + 1) == 16
 
 
@@ -75,6 +75,6 @@
 @pytest.mark.parametrize("told", [0, 1, 8, 9, 80, 219, 8000])
 def test_told_count_is_never_below_the_members(members: int, told: int) -> None:
     """Failure: one instance in eight was not counted until others had come too."""
-    count = members_to_tell(members, told)
+    count = member_count_to_announce(members, told)
     assert members <= count <= 1.25 * members + 1
-    assert members_to_tell(members, count) == count
+    assert member_count_to_announce(members, count) == count
--- a/tests/router/test_gossip.py
+++ b/tests/router/test_gossip.py
@@ -77,7 +77,7 @@
     """Let a gossip that is behind ask now, though nobody answers."""
     gossip._targets_requester._behind_since = -1.0
     gossip._targets_requester._requested_at -= ANSWER_TIMEOUT
-    gossip.ask()
+    gossip.request_updates()
 
 
 async def test_frozen_neighbour_does_not_keep_others_from_being_asked(
@@ -129,13 +129,13 @@
     assert lost.heartbeat is not None
     lost.heartbeat.store_lost = True
     links.live_links = lambda: [lost]
-    gossip.ask()
+    gossip.request_updates()
     assert not gossip.holder_view.is_confirmed()
     assert not confirmed
     lost.heartbeat.store_lost = False
-    gossip.ask()
+    gossip.request_updates()
     gossip.holder_view._connected_since -= HOLDER_CATCH_UP_TIME
-    gossip.ask()
+    gossip.request_updates()
     assert gossip.holder_view.is_confirmed()
     assert len(confirmed) == 1
 
@@ -156,7 +156,7 @@
     for is_lost in (False, True, False):
         holder.heartbeat.store_lost = is_lost
         gossip.holder_view._connected_since -= HOLDER_CATCH_UP_TIME
-        gossip.ask()
+        gossip.request_updates()
         assert not gossip.holder_view.is_confirmed()
 
 
@@ -170,7 +170,7 @@
     """
     directory.note_confirmed = pytest.fail
     links.live_links = lambda: [make_link("a", 10), make_link("b", 10)]
-    gossip.ask()
+    gossip.request_updates()
     assert not gossip.holder_view.is_confirmed()
 
 
@@ -180,7 +180,7 @@
     """What it knows beyond this instance may be a target that left."""
     directory.note_confirmed = pytest.fail
     links.live_links = lambda: [make_holder(12)]
-    gossip.ask()
+    gossip.request_updates()
 
 
 async def test_each_loss_and_return_at_a_neighbour_is_counted(
@@ -194,7 +194,7 @@
     counts = []
     for is_lost in (False, True, True, False):
         link.heartbeat.store_lost = is_lost
-        gossip.ask()
+        gossip.request_updates()
         counts.append(gossip.holder_view.store_reports)
     assert counts == [0, 1, 1, 2]
 
@@ -231,7 +231,7 @@
     links.live_links = lambda: [link]
     if is_lost:
         gossip._health.note_failure("silent", 1.0)
-    gossip.ask()
+    gossip.request_updates()
     assert gossip._configuration.lag.has_source is has_source
 
 
@@ -267,6 +267,6 @@
     known = SimpleNamespace(version=5, packed=b"x")
     gossip._configuration = cast(ConfigurationHolder, known)
     link = FakeLink("a", configuration=told)
-    gossip.give_configuration(link, pb.ConfigurationAsk(version=3))
+    gossip.send_configuration(link, pb.ConfigurationAsk(version=3))
     kinds = [item.WhichOneof("body") for item in link.sent]
     assert kinds == ["configuration"] * answers
--- a/tests/router/test_heartbeats.py
+++ b/tests/router/test_heartbeats.py
@@ -41,7 +41,7 @@
             handle_vote=lambda link, echo: self.echoes.append(echo),
         )
         self.leader = KnownLeader(make_links())
-        self.leader.note_record(
+        self.leader.adopt_record(
             LeaseRecord(holder="a/1", peer="a:1", term=4, renewal=1)
         )
         self.heartbeats = Heartbeats(
--- a/tests/router/test_issuer_list.py
+++ b/tests/router/test_issuer_list.py
@@ -10,7 +10,7 @@
 from swiftpin.keyranges.lease_election import LeaseElection
 from swiftpin.permits.permit_broker import PermitBroker
 from swiftpin.permits.permit_issuers import NO_ISSUERS, PermitIssuers
-from swiftpin.router.fleet_size import MAX_GAP
+from swiftpin.router.fleet_size import MAX_HOLDER_SILENCE
 from swiftpin.router.issuer_list import IssuerList
 from swiftpin.router.watch_duty import (
     CONFIGURATION_WATCHERS,
@@ -86,9 +86,9 @@
     chooser.list.update(NOW)
     told = chooser.permits.issuers.members
     chooser.list._links = make_links()
-    chooser.list.update(NOW + MAX_GAP)
+    chooser.list.update(NOW + MAX_HOLDER_SILENCE)
     assert chooser.permits.issuers.members == told
-    chooser.list.update(NOW + MAX_GAP + 0.1)
+    chooser.list.update(NOW + MAX_HOLDER_SILENCE + 0.1)
     assert chooser.permits.issuers.members == 1
 
 
--- a/tests/router/test_key_map_sharing.py
+++ b/tests/router/test_key_map_sharing.py
@@ -38,8 +38,8 @@
     link = FakeLink("a")
     sharing = make_sharing(maps, link)
     change = OwnerChange(first=5, last=9, owner="t2")
-    sharing.hand_out(make_map(1).with_changes([change]))
-    sharing.hand_out(make_map(9, term=2))
+    sharing.publish(make_map(1).with_changes([change]))
+    sharing.publish(make_map(9, term=2))
     assert [item.WhichOneof("body") for item in link.sent] == [
         "key_map_change",
         "key_map",
@@ -53,7 +53,7 @@
     sender = KeyMaps()
     sender.adopt(make_map(1))
     change = OwnerChange(first=5, last=9, owner="t2")
-    make_sharing(sender, link).hand_out(make_map(1).with_changes([change]))
+    make_sharing(sender, link).publish(make_map(1).with_changes([change]))
     sharing = make_sharing(maps)
     sharing.handle_change(link, link.sent[0].key_map_change)
     assert [maps.owner_of(SERVICE, key) for key in (4, 5, 9, 10)] == [
@@ -77,7 +77,7 @@
     sender = KeyMaps()
     sender.adopt(make_map(number - 1))
     change = OwnerChange(first=5, last=9, owner="t2")
-    make_sharing(sender, source).hand_out(make_map(number - 1).with_changes([change]))
+    make_sharing(sender, source).publish(make_map(number - 1).with_changes([change]))
     link = FakeLink("b")
     asked: list[PeerLink] = []
     sharing = KeyMapSharing(make_links(), maps, asked.append)
--- a/tests/router/test_known_leader.py
+++ b/tests/router/test_known_leader.py
@@ -21,34 +21,34 @@
 def test_older_record_changes_nothing(term: int, renewal: int, holder: str) -> None:
     """A read that was long on its way must not bring a former holder back."""
     leader = KnownLeader(make_links())
-    leader.note_record(make_record("old", 2, 7))
-    leader.note_record(make_record("new", term, renewal))
+    leader.adopt_record(make_record("old", 2, 7))
+    leader.adopt_record(make_record("new", term, renewal))
     assert leader.record.holder == holder
 
 
 def test_heartbeats_tell_of_newer_terms_only() -> None:
     """What others say counts only where it is newer than what was read."""
     leader = KnownLeader(make_links())
-    leader.note_record(make_record("a", 2, 7))
-    leader.note_heartbeat(pb.Heartbeat(term=2, leader="b", leader_peer="b:1"))
+    leader.adopt_record(make_record("a", 2, 7))
+    leader.adopt_heartbeat(pb.Heartbeat(term=2, leader="b", leader_peer="b:1"))
     assert leader.record.holder == "a"
-    leader.note_heartbeat(pb.Heartbeat(term=3, leader="b", leader_peer="b:1"))
+    leader.adopt_heartbeat(pb.Heartbeat(term=3, leader="b", leader_peer="b:1"))
     assert (leader.record.holder, leader.record.peer) == ("b", "b:1")
 
 
 def test_holder_is_heard_for_a_while_and_only_if_it_leads() -> None:
     """Candidates look at the lease once its holder has been silent."""
     leader = KnownLeader(make_links(FakeLink("a", leads=True, term=2)))
-    assert leader.is_heard(2, LEADER_HEARTBEAT_TIMEOUT - 0.01)
-    assert not leader.is_heard(2, LEADER_HEARTBEAT_TIMEOUT)
+    assert leader.is_holder_alive(2, LEADER_HEARTBEAT_TIMEOUT - 0.01)
+    assert not leader.is_holder_alive(2, LEADER_HEARTBEAT_TIMEOUT)
     follower = FakeLink("b", leads=False, term=2)
-    assert not KnownLeader(make_links(follower)).is_heard(2, 0.0)
-    assert not KnownLeader(make_links()).is_heard(0, 0.0)
+    assert not KnownLeader(make_links(follower)).is_holder_alive(2, 0.0)
+    assert not KnownLeader(make_links()).is_holder_alive(0, 0.0)
 
 
 def test_holder_of_a_later_term_counts_as_heard() -> None:
     """Who could not read the new record looked at it four times a second."""
     leader = KnownLeader(make_links(FakeLink("a", leads=True, term=3)))
-    assert leader.is_heard(2, 0.0)
-    assert leader.is_heard(3, 0.0)
-    assert not leader.is_heard(4, 0.0)
+    assert leader.is_holder_alive(2, 0.0)
+    assert leader.is_holder_alive(3, 0.0)
+    assert not leader.is_holder_alive(4, 0.0)
--- a/tests/router/test_load_reports.py
+++ b/tests/router/test_load_reports.py
@@ -43,7 +43,7 @@
     """Return the reports of an instance that knows a leader."""
     links = make_links(link)
     leader = KnownLeader(links)
-    leader.note_record(LeaseRecord(holder="a/1", peer=link.peer, term=1, renewal=0))
+    leader.adopt_record(LeaseRecord(holder="a/1", peer=link.peer, term=1, renewal=0))
     lease = SimpleNamespace(is_held=lambda now: leads)
     return LoadReports(links, leader, cast(LeaseElection, lease))
 
--- a/tests/router/test_planned_stop.py
+++ b/tests/router/test_planned_stop.py
@@ -55,7 +55,7 @@
 @pytest.fixture(autouse=True)
 def short_times_fixture(monkeypatch: pytest.MonkeyPatch) -> None:
     """Let a stop take less than a second."""
-    monkeypatch.setattr(planned_stop, "BALANCER_TIME", 0.05)
+    monkeypatch.setattr(planned_stop, "BALANCER_REMOVAL_TIME", 0.05)
     monkeypatch.setattr(planned_stop, "STOP_MARGIN", MARGIN)
 
 
--- a/tests/router/test_poison_reports.py
+++ b/tests/router/test_poison_reports.py
@@ -23,7 +23,7 @@
     link = FakeLink("leader", is_outgoing=True)
     links = make_links(link)
     leader = KnownLeader(links)
-    leader.note_record(
+    leader.adopt_record(
         LeaseRecord(holder="leader/1", peer=link.peer, term=1, renewal=0)
     )
     poison = PoisonWatch()
@@ -55,11 +55,11 @@
     leader = KnownLeader(links)
     poison = PoisonWatch()
     reports = PoisonReports(links, leader, poison)
-    leader.note_record(LeaseRecord(holder="old/1", peer=old.peer, term=1, renewal=0))
+    leader.adopt_record(LeaseRecord(holder="old/1", peer=old.peer, term=1, renewal=0))
     for number in range(CRASHES - 1):
         poison.on_suspect(FINGERPRINT, f"t{number}", NOW)
     reports.report(NOW)
-    leader.note_record(LeaseRecord(holder="new/1", peer=new.peer, term=2, renewal=0))
+    leader.adopt_record(LeaseRecord(holder="new/1", peer=new.peer, term=2, renewal=0))
     reports.report(NOW + 1)
     reports.report(NOW + 2)
     assert [item.suspect.target for item in old.sent] == ["t0", "t1"]
@@ -76,7 +76,7 @@
     poison.on_suspect(FINGERPRINT, "t1", NOW)
     reports.report(NOW)
     links.outgoing_by_peer[link.peer] = link
-    leader.note_record(
+    leader.adopt_record(
         LeaseRecord(holder="leader/1", peer=link.peer, term=1, renewal=0)
     )
     reports.report(NOW + 1)
@@ -92,7 +92,7 @@
     reports = PoisonReports(links, leader, poison)
     poison.on_suspect(FINGERPRINT, "t1", NOW)
     reports.report(NOW)
-    leader.note_record(
+    leader.adopt_record(
         LeaseRecord(holder="leader/1", peer=link.peer, term=1, renewal=0)
     )
     reports.report(NOW + MEMORY)
--- a/tests/router/test_retry_members.py
+++ b/tests/router/test_retry_members.py
@@ -15,7 +15,7 @@
 @pytest.fixture(autouse=True)
 def settle_fixture(monkeypatch: pytest.MonkeyPatch) -> None:
     """Let instances have their share sooner."""
-    monkeypatch.setattr(fleet_size, "TELL_TIME", SETTLE - BOUNDS.retry_window)
+    monkeypatch.setattr(fleet_size, "ANNOUNCEMENT_TIME", SETTLE - BOUNDS.retry_window)
 
 
 def members(site: Site) -> dict[str, int | None]:
--- a/tests/router/test_retry_policy.py
+++ b/tests/router/test_retry_policy.py
@@ -17,7 +17,7 @@
 from swiftpin.model.bounds import Bounds
 from swiftpin.model.request_kind import RequestKind
 from swiftpin.router.call import Call
-from swiftpin.router.fleet_size import TELL_TIME, FleetSize
+from swiftpin.router.fleet_size import ANNOUNCEMENT_TIME, FleetSize
 from swiftpin.router.retry_policy import RetryPolicy
 from tests.router.calls import NOW, make_call
 
@@ -40,15 +40,17 @@
 def make_policy(members: int = 1, bounds: Bounds = BOUNDS) -> RetryPolicy:
     """Return a policy of one of several instances, which has its share of the slack."""
     fleet_size = FleetSize()
-    for seconds in range(round(WINDOW + TELL_TIME) + 1):
-        fleet_size.note_told(members, NOW - WINDOW - TELL_TIME + seconds)
+    for seconds in range(round(WINDOW + ANNOUNCEMENT_TIME) + 1):
+        fleet_size.record_member_count(
+            members, NOW - WINDOW - ANNOUNCEMENT_TIME + seconds
+        )
     return RetryPolicy(bounds, fleet_size)
 
 
 def keep_in_touch(policy: RetryPolicy, *, until: float) -> None:
     """Have the instance hear the holder until a time."""
     for seconds in range(round(until - NOW) + 1):
-        policy._fleet_size.note_told(1, NOW + seconds)
+        policy._fleet_size.record_member_count(1, NOW + seconds)
 
 
 @pytest.fixture(name="policy")
