--- a/swiftpin/router/__init__.py
+++ b/swiftpin/router/__init__.py
@@ -1,1 +1,1 @@
-"""The running router: routes, targets, the request path of an instance."""
+"""Router instance: request handling, retries and coordination with the fleet."""
--- a/swiftpin/router/__main__.py
+++ b/swiftpin/router/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point of the router's daemon."""
+"""Entry point of the router daemon."""
 
 from __future__ import annotations
 
@@ -9,12 +9,13 @@
 
 
 def main() -> int:
-    """Run one instance until it is told to stop; return the exit status.
+    """Run one instance until it receives a stop signal; return the exit status.
 
-    Nothing of what the imports make is garbage, yet they make enough of it for Python
-    to look through all of it several times. Without those looks an instance listens
-    0.06 s of 0.55 s sooner (processor time of `import swiftpin.router.daemon`, least
-    of 15), and callers are served that much sooner after a loss of power.
+    Garbage collection is disabled during the imports. They create so many objects that
+    Python would run several collections, none of which finds garbage. Without them an
+    instance starts listening 0.06 s sooner, of 0.55 s before (CPU time of
+    `import swiftpin.router.daemon`, minimum of 15 runs). That shortens the outage for
+    callers after a power failure.
     """
     gc.disable()
     from swiftpin.router.daemon import run
--- a/swiftpin/router/app.py
+++ b/swiftpin/router/app.py
@@ -1,4 +1,4 @@
-"""One instance of the router."""
+"""Composition root of one router instance."""
 
 from __future__ import annotations
 
@@ -49,11 +49,11 @@
 from swiftpin.router.status_endpoints import StatusEndpoints
 
 HOUSEKEEPING_INTERVAL: Final = 1.0
-"""Seconds between two rounds of closing idle connections."""
+"""Seconds between two runs of the periodic clean-up."""
 
 
 class Router:
-    """Wires the parts of an instance and runs its tasks."""
+    """Creates and connects the components of an instance and runs their tasks."""
 
     def __init__(self, settings: InstanceSettings, logging: LoggingSetup) -> None:
         self.stop_requested = asyncio.Event()
@@ -98,7 +98,7 @@
         self._fleet = FleetCoordinator(
             incarnation=incarnation,
             own_peer=str(settings.peer_address),
-            strength=settings.cpu_capacity,
+            cpu_capacity=settings.cpu_capacity,
             bandwidth=settings.bandwidth,
             seeds=settings.seeds,
             lease=self._lease,
@@ -140,7 +140,7 @@
             poison=self._poison,
             fleet_size=self._fleet_size,
         )
-        log = RequestLog(
+        request_log = RequestLog(
             destination=logging.destination,
             maps=self._maps,
             directory=self._directory,
@@ -150,13 +150,13 @@
             configuration=self._configuration,
             sender=self._sender,
             lifecycle=self._lifecycle,
-            log=log,
+            log=request_log,
         )
         self._configuration.on_change = self._handle_configuration_change
         self._directory.on_change = self._update_permit_targets
         self._evacuations.on_change = self._update_permit_targets
         self._maps.on_change = self._permits.note_owners
-        status = StatusEndpoints(
+        status_endpoints = StatusEndpoints(
             started_at=suspend_aware_now(),
             lifecycle=self._lifecycle,
             configuration=self._configuration,
@@ -167,8 +167,8 @@
         )
         self._listeners = Listeners(
             handler=self._handler.async_handle,
-            on_unparsed=log.write_unparsed,
-            status=status,
+            on_unparsed=request_log.write_unparsed,
+            status=status_endpoints,
         )
         self._planned_stop = PlannedStop(
             lifecycle=self._lifecycle,
@@ -177,11 +177,11 @@
             callers=self._listeners.callers,
             handler=self._handler,
         )
-        # The platform starts a process again that ends.
+        # The platform restarts a process that exits.
         self._tasks = BackgroundTasks(on_failed=self.stop_requested.set)
 
     async def async_setup(self) -> None:
-        """Listen and start all tasks."""
+        """Start the listeners and all background tasks."""
         settings = self._settings
         log_message(
             message_type="instance_started",
@@ -227,11 +227,11 @@
         self._tasks.start(self._async_housekeeping())
 
     async def async_stop(self) -> None:
-        """Leave: serve what is in flight, give duties away, end in time."""
+        """Finish requests in flight and release the lease within the grace period."""
         await self._planned_stop.async_run(self._settings.bounds.shutdown_grace)
 
     async def async_unload(self) -> None:
-        """Close everything."""
+        """Stop all tasks and close all listeners, links and clients."""
         await self._tasks.async_unload()
         await self._listeners.async_unload()
         await self._fleet.links.async_unload()
@@ -240,7 +240,7 @@
 
     @callback
     def apply_settings(self, settings: InstanceSettings) -> None:
-        """Take new bounds; addresses stay until the next start."""
+        """Apply new bounds; changed addresses need a restart."""
         log_message(
             message_type="settings_reloaded", changed=settings != self._settings
         )
@@ -253,23 +253,23 @@
 
     @callback
     def log_rejected_settings(self, err: ConfigurationError) -> None:
-        """Note settings that can't be used; the present ones stay."""
+        """Log settings that were rejected; the current ones stay in effect."""
         log_message(message_type="settings_refused", level="error", error=str(err))
 
     @callback
     def _is_holder_alive(self, term: int) -> bool:
-        """Return whether another instance holds the lease, in a term or a later one."""
+        """Return whether heartbeats show another holder in this or a later term."""
         now = asyncio.get_running_loop().time()
         return self._fleet.known_leader.is_holder_alive(term, now)
 
     @callback
     def _has_live_links(self) -> bool:
-        """Return whether another instance is heard, which tells of a new holder."""
+        """Return whether any peer link is live and could announce a new holder."""
         return bool(self._fleet.links.live_links())
 
     @callback
     def _collect_load_report(self) -> LoadReport:
-        """Return what was noted since the last call."""
+        """Return the load recorded since the last call and update the retry metric."""
         self._update_retry_members(
             self._sender.retries.members(suspend_aware_now()) or 0
         )
@@ -277,14 +277,14 @@
 
     @callback
     def _update_retry_members(self, members: int) -> None:
-        """Show among how many instances the budgets of retries are shared."""
+        """Report the number of instances that share the retry budgets."""
         if members != self._metrics.retry_members:
             log_message(message_type="retry_members_changed", members=members)
         self._metrics.retry_members = members
 
     @callback
     def _handle_configuration_change(self) -> None:
-        """Act on a new configuration."""
+        """Apply a new configuration to the components that depend on it."""
         self._handler.note_configuration()
         configuration = self._configuration.current
         if configuration is not None:
@@ -295,7 +295,7 @@
 
     @callback
     def _update_permit_targets(self) -> None:
-        """Tell the permits which targets there are."""
+        """Pass the current targets of every service to the permit broker."""
         now = suspend_aware_now()
         configuration = self._configuration.current
         if configuration is None:
@@ -314,25 +314,29 @@
     def _build_cold_targets(
         self, service: ServiceSpec, targets: list[Target], now: float
     ) -> ColdTargets:
-        """Return the targets of a service that are cold."""
-        left_by_id = {
+        """Return the cold targets of a service and the limits that apply to them."""
+        remaining_by_id = {
             target.id: self._directory.cold_left(target, service.cold_start, now)
             for target in targets
         }
         return ColdTargets(
-            left_by_id={name: left for name, left in left_by_id.items() if left},
+            left_by_id={
+                target_id: remaining
+                for target_id, remaining in remaining_by_id.items()
+                if remaining
+            },
             rate=service.cold_rate,
             most_a_second=self._settings.bounds.cold_limit(service.cold_rate),
             is_keyed=service.is_keyed,
         )
 
     async def _async_housekeeping(self) -> None:
-        """Close idle connections again and again."""
+        """Remove expired entries and close idle connections periodically."""
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(HOUSEKEEPING_INTERVAL)
             self._directory.sweep(suspend_aware_now())
             self._evacuations.sweep(suspend_aware_now())
-            # A leaving target's drain time ends without a change that tells of it.
+            # No change event marks the end of a target's drain time.
             self._update_permit_targets()
             self._clients.close_idle(loop.time())
--- a/swiftpin/router/assigner_factory.py
+++ b/swiftpin/router/assigner_factory.py
@@ -1,4 +1,4 @@
-"""Making of the assigner of a service's keys."""
+"""Factory for the key assigners of services."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 from swiftpin.router.key_map_sharing import KeyMapSharing
 
 REQUEST_END_MARGIN: Final = 0.5
-"""Seconds beyond a request's deadline until its target has surely stopped: the way to
-it, and a clock that runs slow. A change of the configuration may have shortened
-timeouts moments ago."""
+"""Seconds after a request's deadline until its target is guaranteed to have stopped
+processing it. Covers network latency, a slow clock, and a configuration change that has
+just shortened the timeouts."""
 
 
 class AssignerFactory:
-    """Gives each assigner what it needs of the instance."""
+    """Creates assigners with the components of the instance that they need."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
     def make(
         self, service: str, configuration: Configuration, fences: Fences
     ) -> RangeAssigner:
-        """Return an assigner for a service's keys in the present term."""
+        """Return an assigner for a service's keys in the current term."""
         gate = partial(self._check_lease, self._lease.term)
         return RangeAssigner(
             service=service,
@@ -80,26 +80,27 @@
         )
 
     @callback
-    def _current_spec(self, known: ServiceSpec) -> ServiceSpec:
-        """Return the present declaration of a service, the one known if it has none."""
+    def _current_spec(self, fallback: ServiceSpec) -> ServiceSpec:
+        """Return the current specification of a service, or `fallback` if removed."""
         configuration = self._configuration.current
         if configuration is None:
-            return known
-        return configuration.services_by_name.get(known.name, known)
+            return fallback
+        return configuration.services_by_name.get(fallback.name, fallback)
 
     @callback
     def _check_lease(self, term: int, now: float) -> None:
-        """Hold back a call to a target by an assigner whose term is over.
+        """Raise an error if the calling assigner's term has ended.
 
-        After a suspension the lease may be held again, in a later term, before the
-        assigner of the earlier one is stopped; what that knows may be long out of date.
+        After a suspension the instance may hold the lease again in a later term before
+        the assigner of the earlier term is stopped. The state of that assigner may be
+        outdated, so it must not call targets.
         """
         if self._lease.term != term or not self._lease.is_held(suspend_aware_now()):
             raise RequestNotSentError("the lease has ended")
 
     @callback
     def _max_request_time(self) -> float:
-        """Return after how many seconds no request sent before is at work any more."""
+        """Return the seconds after which all requests sent earlier have ended."""
         configuration = self._configuration.current
-        longest = 0.0 if configuration is None else configuration.max_route_timeout
-        return longest + REQUEST_END_MARGIN
+        max_timeout = 0.0 if configuration is None else configuration.max_route_timeout
+        return max_timeout + REQUEST_END_MARGIN
--- a/swiftpin/router/background_tasks.py
+++ b/swiftpin/router/background_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that run as long as an instance does."""
+"""Tasks that run for the lifetime of an instance."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class BackgroundTasks:
-    """Runs tasks, and tells when one of them broke.
+    """Runs tasks and reports when one of them fails.
 
-    A task that ended silently would leave an instance that looks well but, for
-    instance, follows no changes any more.
+    After a silent failure of a task the instance would look healthy but, for example,
+    no longer follow changes in the store.
     """
 
     def __init__(self, on_failed: Callable[[], None]) -> None:
@@ -23,20 +23,20 @@
 
     @callback
     def start(self, coroutine: Coroutine[None, None, None]) -> None:
-        """Run a coroutine."""
+        """Run a coroutine as a background task."""
         task = asyncio.get_running_loop().create_task(coroutine)
         task.add_done_callback(self._handle_done)
         self._tasks.append(task)
 
     async def async_unload(self) -> None:
-        """Cancel all tasks and wait for their end."""
+        """Cancel all tasks and wait until they have ended."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     @callback
     def _handle_done(self, task: asyncio.Task[None]) -> None:
-        """Tell of a task that ended by itself."""
+        """Report a task that ended without being cancelled."""
         if task.cancelled():
             return
         log_message(
--- a/swiftpin/router/configuration_holder.py
+++ b/swiftpin/router/configuration_holder.py
@@ -1,4 +1,4 @@
-"""The configuration in force at this instance."""
+"""The active configuration of this instance."""
 
 from __future__ import annotations
 
@@ -22,13 +22,14 @@
 from swiftpin.router.configuration_lag import ConfigurationLag
 
 COMPRESSION_LEVEL: Final = 1
-"""Level of zlib's compression; higher ones take longer and save little of JSON."""
+"""zlib compression level; higher levels take longer and save little on JSON."""
 
 Decoding = Generator[None, None, Configuration]
-"""A configuration that is being decoded."""
+"""A decoding in progress that yields between slices."""
 
 MAX_DOCUMENT_BYTES: Final = 64 * 1024 * 1024
-"""Bytes of a configuration at most that is unpacked."""
+"""Maximum size in bytes of a decompressed configuration; bounds the memory that a
+neighbour's message can take."""
 
 
 @callback
@@ -38,41 +39,41 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Source:
-    """Where a configuration comes from."""
+    """Origin of a configuration that is being decoded."""
 
     name: str
     packed: bytes = b""
     on_done: Callable[[], None] = _noop
-    """Called when it is in force or refused."""
+    """Called when the configuration is active or has been rejected."""
 
 
 class ConfigurationHolder:
-    """Adopts only higher versions, from the store or from neighbours."""
+    """Holds the newest configuration received from the store or from neighbours."""
 
     def __init__(self) -> None:
         self.current: Configuration | None = None
         self.adopted_at = 0.0
         self.lag = ConfigurationLag()
         self.packed = b""
-        """What the version in force was read from, for neighbours."""
+        """The active configuration as compressed JSON, to be sent to neighbours."""
 
         self.on_change: Callable[[], None] = _noop
 
     @property
     def version(self) -> int:
-        """Return the version in force, 0 before there is one."""
+        """Return the active version, 0 if there is none yet."""
         return 0 if self.current is None else self.current.version
 
     @callback
     def note_announced_version(self, version: int, now: float) -> None:
-        """Note that another instance has a version in force."""
+        """Record that another instance announced its active version."""
         self.lag.note_told(version, self.version, now)
 
     @callback
     def adopt_list(
         self, objects: tuple[PlatformObject, ...], revision: int, now: float
     ) -> None:
-        """Take the configuration out of a list of its kind."""
+        """Adopt the configuration from a list of all objects of its kind."""
         self.adopt_changes(objects, revision, now)
 
     @callback
@@ -84,23 +85,26 @@
         *,
         is_catching_up: bool = False,
     ) -> None:
-        """Take a changed configuration."""
+        """Adopt the configuration if it is among the changed objects."""
         for changed in objects:
             if changed.name == NAME_CONFIGURATION and not changed.is_deleted:
                 self._adopt_stored(changed.content, now)
 
     @callback
     def resume_revision(self, revision: int) -> int | None:
-        """Return None: the list holds one object, and the revision may be long gone."""
+        """Return None to request a new list.
+
+        The list holds only one object, and the store may have discarded the revision.
+        """
         return None
 
     @callback
     def adopt_packed(
         self, packed: bytes, now: float, on_done: Callable[[], None] | None = None
     ) -> None:
-        """Take the configuration that a neighbour sent.
+        """Adopt the configuration that a neighbour sent.
 
-        `on_done` is called when it is in force or refused.
+        `on_done` is called when it is active or has been rejected.
         """
         source = _Source(name="neighbour", packed=packed, on_done=on_done or _noop)
         try:
@@ -112,7 +116,7 @@
 
     @callback
     def _adopt_stored(self, document: object, now: float) -> None:
-        """Take the configuration that the store holds."""
+        """Adopt the configuration read from the store."""
         try:
             packed = _compress(document)
         except ConfigurationError as err:
@@ -123,22 +127,22 @@
 
     @callback
     def _decode(self, decoding: Decoding, source: _Source, now: float) -> None:
-        """Go on with decoding; a long document lets others go on in between."""
+        """Decode one slice; large documents yield to the event loop between slices."""
         try:
-            done = run_time_slice(decoding)
+            finished = run_time_slice(decoding)
         except ConfigurationError as err:
             self._reject(source, str(err))
             return
-        if done is None:
+        if finished is None:
             loop = asyncio.get_running_loop()
             loop.call_soon(self._decode, decoding, source, now)
             return
-        self._adopt(done.result, source, now)
+        self._adopt(finished.result, source, now)
         source.on_done()
 
     @callback
     def _reject(self, source: _Source, error: str) -> None:
-        """Note a configuration that can't be read; the one in force stays."""
+        """Log a configuration that is unreadable; the active one stays."""
         log_message(
             message_type="configuration_refused",
             level="error",
@@ -149,7 +153,7 @@
 
     @callback
     def _adopt(self, configuration: Configuration, source: _Source, now: float) -> None:
-        """Put a configuration in force if its version is higher."""
+        """Activate a configuration if its version is higher."""
         if configuration.version < self.version:
             log_message(
                 message_type="stale_update_refused",
@@ -175,7 +179,10 @@
 
 @callback
 def _compress(document: object) -> bytes:
-    """Return a document for neighbours; raise `ConfigurationError` if it can't be."""
+    """Return a document as compressed JSON for neighbours.
+
+    Raises `ConfigurationError` if it is not serialisable.
+    """
     try:
         return zlib.compress(orjson.dumps(document), COMPRESSION_LEVEL)
     except TypeError as err:
@@ -184,5 +191,8 @@
 
 @callback
 def _decompress(packed: bytes) -> bytes:
-    """Return what a neighbour packed; raise `zlib.error` if it is not readable."""
+    """Return the JSON text that a neighbour compressed.
+
+    Raises `zlib.error` if the data is corrupt.
+    """
     return zlib.decompressobj().decompress(packed, MAX_DOCUMENT_BYTES)
--- a/swiftpin/router/daemon.py
+++ b/swiftpin/router/daemon.py
@@ -1,4 +1,4 @@
-"""The router's daemon: one instance that runs until it is told to stop."""
+"""Router daemon: runs one instance until it receives a stop signal."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 EXIT_SETTINGS: Final = 2
 
 SETTINGS_POLL_INTERVAL: Final = 1.0
-"""Seconds between two looks whether the settings file changed without a signal."""
+"""Seconds between two checks whether the settings file changed without a signal."""
 
 
 def run() -> int:
-    """Run one instance until it is told to stop; return the exit status."""
+    """Run one instance until it receives a stop signal; return the exit status."""
     path = os.environ.get(ENV_SETTINGS, "")
     try:
         return uvloop.run(async_run(path))
@@ -60,7 +60,7 @@
 
 @callback
 def _reload(router: Router, path: str) -> None:
-    """Read the settings again; wrong ones change nothing."""
+    """Reload the settings; invalid settings are logged and ignored."""
     try:
         router.apply_settings(read_settings(path))
     except ConfigurationError as err:
@@ -68,7 +68,7 @@
 
 
 async def _async_poll_settings(router: Router, path: str) -> None:
-    """Take settings that changed without a signal."""
+    """Reload settings whose file changed without a signal."""
     known = _modified_at(path)
     while True:
         await asyncio.sleep(SETTINGS_POLL_INTERVAL)
@@ -79,9 +79,9 @@
 
 
 def _modified_at(path: str) -> int:
-    """Return when a file was changed, 0 while it is not there."""
+    """Return the modification time of a file in nanoseconds, 0 if it is missing."""
     try:
         return os.stat(path).st_mtime_ns
     except OSError:
-        # It is being replaced; the next look finds it.
+        # The file is being replaced; the next poll finds it.
         return 0
--- a/swiftpin/router/document_requester.py
+++ b/swiftpin/router/document_requester.py
@@ -1,4 +1,4 @@
-"""Asking neighbours for a document that one of them knows in a newer version."""
+"""Requests for documents of which a neighbour has a newer version."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from swiftpin.fleet.links import FleetLinks
 
 ANSWER_TIMEOUT: Final = 0.6
-"""Seconds without a part of the answer after which another neighbour is asked."""
+"""Seconds without an answer or a fragment of it before another neighbour is asked."""
 
 MIN_REQUEST_INTERVAL: Final = 0.4
-"""Seconds between two questions at least: each answer costs processor time at both
-sides, and targets change many times a second while many of them come and go."""
+"""Minimum seconds between two requests. Each answer costs CPU time at both ends, and
+the target list changes many times per second while many targets join and leave."""
 
 
 class DocumentRequester:
-    """Asks one neighbour at a time, and waits while its answer is arriving.
+    """Requests a document from one neighbour at a time and waits for its answer.
 
-    An answer may take longer over a thin link than a neighbour needs to be asked again;
-    several answers under way delay each other and everything else on the link.
+    On a slow link an answer can take longer than `ANSWER_TIMEOUT`. Parallel answers
+    would delay each other and all other messages on the link.
     """
 
     def __init__(
@@ -38,26 +38,26 @@
         self._links = links
         self._rng = rng
         self._is_ahead = is_ahead
-        """Tells by a neighbour's heartbeat whether it knows something newer."""
+        """Returns whether a neighbour's heartbeat announces a newer version."""
 
         self._send_request = send_request
         self._delay = delay
-        """Returns the seconds to stay behind before a neighbour is asked."""
+        """Returns the seconds to wait for a direct update before asking a neighbour."""
 
         self._behind_since: float | None = None
         self._pending_link: PeerLink | None = None
         self._requested_at = -MIN_REQUEST_INTERVAL
         self._last_requested = ""
-        """Incarnation of the neighbour that was asked last."""
+        """Incarnation of the neighbour that received the last request."""
 
     @property
     def is_behind(self) -> bool:
-        """Return whether a neighbour that was heard at the last look is ahead."""
+        """Return whether a live neighbour was ahead at the last update."""
         return self._behind_since is not None
 
     @callback
     def update(self, now: float) -> None:
-        """Ask a neighbour, if one is ahead and no answer is on its way."""
+        """Send a request if a neighbour is ahead and no answer is pending."""
         ahead = [
             link
             for link in self._links.live_links()
@@ -75,7 +75,7 @@
 
     @callback
     def request(self, link: PeerLink, now: float) -> None:
-        """Ask a neighbour, unless another one's answer is on its way."""
+        """Send a request to a neighbour, unless an answer is pending."""
         if self._is_answer_pending(now):
             return
         self._pending_link, self._requested_at = link, now
@@ -84,12 +84,12 @@
 
     @callback
     def note_answer(self) -> None:
-        """Note that an answer has arrived; it may be outdated already."""
+        """Record that an answer has arrived; it may already be outdated."""
         self._pending_link = None
 
     @callback
     def _is_answer_pending(self, now: float) -> bool:
-        """Return whether an answer is on its way."""
+        """Return whether a requested answer can still arrive."""
         link = self._pending_link
         if link is None or link.is_closed:
             return False
@@ -97,12 +97,15 @@
 
     @callback
     def _choose_neighbour(self, ahead: list[PeerLink], now: float) -> PeerLink:
-        """Return the neighbour to ask: one that is heard, and not the last one again.
+        """Return a random neighbour, preferably responsive and not the last one asked.
 
-        One that froze or was cut off stays among the links for a second, and whoever
-        asks it alone learns of a leaving target that much later. Each instance chooses
-        at random, since many fall behind at the same moment.
+        The link of a neighbour that froze or was cut off counts as live for another
+        second. An instance that asked only this one would learn of a leaving target
+        that much later. The choice is random because many instances fall behind at
+        the same moment.
         """
-        heard = [link for link in ahead if link.is_responsive(now)] or ahead
-        others = [link for link in heard if link.incarnation != self._last_requested]
-        return self._rng.choice(others or heard)
+        responsive = [link for link in ahead if link.is_responsive(now)] or ahead
+        others = [
+            link for link in responsive if link.incarnation != self._last_requested
+        ]
+        return self._rng.choice(others or responsive)
--- a/swiftpin/router/extension_votes.py
+++ b/swiftpin/router/extension_votes.py
@@ -1,4 +1,4 @@
-"""Votes to leave the lease to its holder while the store answers nobody."""
+"""Votes that extend the lease of its holder while the store is unreachable."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class ExtensionVotes:
-    """Gives votes to the holder of the lease and counts those that it gets.
+    """Casts votes for the lease holder and counts the votes received as holder.
 
-    A member votes only while the store answers neither of the two: when it turns just
-    the holder away, somebody whom it serves had better take over.
+    A member votes only while the store answers neither the holder nor the member. If
+    only the holder has lost the store, an instance that can reach it should take over.
     """
 
     def __init__(
@@ -30,33 +30,33 @@
         self._lease = lease
         self._health = health
         self._requested_by = ""
-        """Incarnation of the holder that lost the store."""
+        """Incarnation of the holder that has lost the store and needs votes."""
 
         self._requested_at = 0.0
         self._voted_for = ""
-        """Incarnation of the holder for which this member voted last."""
+        """Incarnation of the holder that this member votes for, empty if none."""
 
         self._probe: asyncio.Task[None] | None = None
 
     @callback
     def cast_vote(self, link: PeerLink, now: float) -> bool:
-        """Return whether to leave the lease to its holder at the other end of a link.
+        """Return whether to vote for the peer of a link as the lease holder.
 
-        Only what its holder says counts: heartbeats go to other instances too, and
-        what those say must not make an old loss look like a new one.
+        Only the holder's own heartbeats are considered: links to other instances must
+        not make the loss of the store look new again.
         """
         heartbeat = link.heartbeat
         if heartbeat is None or not heartbeat.leads:
             return False
-        is_given = self._should_vote(link, heartbeat, now)
-        if is_given:
+        is_cast = self._should_vote(link, heartbeat, now)
+        if is_cast:
             self._lease.own_vote_until = now + VOTE_TIME
-        self._log_vote(link.incarnation if is_given else "")
-        return is_given
+        self._log_vote(link.incarnation if is_cast else "")
+        return is_cast
 
     @callback
     def _should_vote(self, link: PeerLink, heartbeat: Item, now: float) -> bool:
-        """Return whether to vote for the holder at the other end of a link."""
+        """Return whether the store answers neither the holder nor this member."""
         if not heartbeat.store_lost:
             self._requested_by = ""
             return False
@@ -69,7 +69,7 @@
 
     @callback
     def _log_vote(self, holder: str) -> None:
-        """Write a line when votes for a holder begin or end; empty for none."""
+        """Log when votes for a holder begin or end; `holder` is empty for no vote."""
         if holder == self._voted_for:
             return
         if self._voted_for:
@@ -80,16 +80,17 @@
 
     @callback
     def handle_vote(self, link: PeerLink, requested_at: float) -> None:
-        """Take a vote; `echo` is this instance's time when it was asked for.
+        """Record a vote that this instance requested at `requested_at`.
 
-        Counted from before the vote was made, so it never looks longer.
+        The validity of the vote counts from the request, which is earlier than the
+        vote, so it is never overestimated.
         """
         link.vote_expires_at = max(link.vote_expires_at, requested_at + VOTE_TIME)
         self._lease.extended_until = self._extended_until()
 
     @callback
     def _extended_until(self) -> float:
-        """Return until when all members have voted to leave the lease alone."""
+        """Return the time until which the votes of all members extend the lease."""
         until_by_name: dict[str, float] = {}
         for link in self._links.incoming:
             name = link.incarnation.partition("/")[0]
--- a/swiftpin/router/fleet_coordinator.py
+++ b/swiftpin/router/fleet_coordinator.py
@@ -1,4 +1,4 @@
-"""What this instance and the others tell each other."""
+"""Communication of this instance with the rest of the fleet."""
 
 from __future__ import annotations
 
@@ -37,14 +37,14 @@
 from swiftpin.router.poison_watch import PoisonWatch
 
 UPDATE_INTERVAL: Final = 0.2
-"""Seconds between two looks at links, issuers and reports."""
+"""Seconds between two updates of links, issuers and reports."""
 
 
 class FleetCoordinator:
-    """Keeps the links that are needed, and hands what comes over them to its part.
+    """Maintains the required links and dispatches the messages they deliver.
 
-    Every member is linked to the instance that assigns keys, which hands out key maps
-    and the list of issuers, and to the issuers, which hand out permits.
+    Every member connects to the instance that assigns keys, which publishes key maps
+    and the list of issuers, and to the issuers, which grant permits.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         *,
         incarnation: str,
         own_peer: str,
-        strength: float,
+        cpu_capacity: float,
         bandwidth: float,
         seeds: tuple[str, ...],
         lease: LeaseElection,
@@ -68,7 +68,7 @@
         links = self.links = FleetLinks(
             incarnation=incarnation,
             own_peer=own_peer,
-            cpu_capacity=strength,
+            cpu_capacity=cpu_capacity,
             handler=self,
             bandwidth=bandwidth,
         )
@@ -96,7 +96,7 @@
         self._issuer_list = IssuerList(
             incarnation=incarnation,
             own_peer=own_peer,
-            strength=strength,
+            cpu_capacity=cpu_capacity,
             links=links,
             lease=lease,
             permits=permits,
@@ -116,7 +116,7 @@
 
     async def async_run(self, collect_load_report: Callable[[], LoadReport]) -> None:
         """Keep links, issuers and reports up to date until cancelled."""
-        report_at = 0.0
+        next_report_at = 0.0
         while True:
             now = suspend_aware_now()
             self._update_links()
@@ -125,8 +125,8 @@
             self._update_fleet_size(now)
             self._poison_reports.report(now)
             self.gossip.request_updates()
-            if now >= report_at:
-                report_at = (
+            if now >= next_report_at:
+                next_report_at = (
                     now
                     + report_interval(self._permits.issuers.members)
                     - UPDATE_INTERVAL / 2
@@ -136,7 +136,7 @@
 
     @callback
     def handle_item(self, link: PeerLink, item: Item) -> None:
-        """Take one item."""
+        """Dispatch one message to the component that handles it."""
         match item.WhichOneof("body"):
             case "ask":
                 self._permits.handle_ask(link, item.ask)
@@ -182,7 +182,7 @@
 
     @callback
     def _handle_hello(self, link: PeerLink, hello: Item) -> None:
-        """Learn who is at the other side, and give it what it needs."""
+        """Record the identity of the peer and send it the current state."""
         link.incarnation = hello.incarnation
         link.peer = hello.peer
         link.cpu_capacity = hello.strength
@@ -200,7 +200,7 @@
 
     @callback
     def _update_fleet_size(self, now: float) -> None:
-        """Note how many instances there are, while the holder of the lease is heard."""
+        """Record the announced fleet size while the lease holder is connected."""
         issuers = self._permits.issuers
         if self._lease.is_held(now):
             term = self._lease.term
@@ -216,12 +216,12 @@
 
     @callback
     def _request_key_maps(self, link: PeerLink) -> None:
-        """Ask for key maps of which a change was missed."""
+        """Request all key maps after a missed change."""
         self.gossip.request_key_maps(link)
 
     @callback
     def _update_links(self) -> None:
-        """Keep links to the leader and the issuers; to seeds while neither is known."""
+        """Connect to the leader and the issuers, or to the seeds if none is known."""
         wanted = {
             self.known_leader.record.peer,
             *self._permits.issuers.peers_by_incarnation.values(),
--- a/swiftpin/router/fleet_messages.py
+++ b/swiftpin/router/fleet_messages.py
@@ -1,4 +1,4 @@
-"""Conversion between data classes and the messages on links."""
+"""Conversion between data classes and the messages on peer links."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class LoadReport:
-    """What an instance saw since its last report."""
+    """Load of an instance since its last report."""
 
     counts_by_service: dict[str, dict[int, int]] = field(default_factory=dict)
     seconds_by_target: dict[tuple[str, str], list[float]] = field(default_factory=dict)
@@ -28,7 +28,7 @@
         counts[key] = counts.get(key, 0) + 1
 
     def add_duration(self, service: str, target: str, seconds: float | None) -> None:
-        """Note a request's time at a target, None when it failed."""
+        """Record a request's duration at a target; `seconds` is None if it failed."""
         if seconds is None:
             failures = self.failures_by_target
             failures[service, target] = failures.get((service, target), 0) + 1
@@ -36,14 +36,14 @@
             self.seconds_by_target.setdefault((service, target), []).append(seconds)
 
     def add_abandoned(self, service: str, target: str, seconds: float) -> None:
-        """Note a request that was given up after some seconds at a target."""
+        """Record a request that was abandoned after a number of seconds at a target."""
         self.abandoned_seconds_by_target.setdefault((service, target), []).append(
             seconds
         )
 
 
 def encode_load(report: LoadReport) -> Item:
-    """Return a report as an item."""
+    """Return a load report as a message."""
     message = pb.LoadReport()
     for service, counts in report.counts_by_service.items():
         message.loads.add(service=service, keys=counts.keys(), counts=counts.values())
@@ -64,8 +64,8 @@
 
 
 def encode_key_map(key_map: KeyMap) -> Item:
-    """Return a map as an item; each target is named once."""
-    numbers: Mapping[str, int] = {
+    """Return a key map as a message that names each target once."""
+    indexes: Mapping[str, int] = {
         owner: number for number, owner in enumerate(dict.fromkeys(key_map.owners))
     }
     return pb.Item(
@@ -74,14 +74,14 @@
             term=key_map.term,
             number=key_map.number,
             firsts=key_map.firsts,
-            owners=[numbers[owner] for owner in key_map.owners],
-            targets=list(numbers),
+            owners=[indexes[owner] for owner in key_map.owners],
+            targets=list(indexes),
         )
     )
 
 
 def decode_key_map(message: Item) -> KeyMap:
-    """Return the map in a message."""
+    """Return the key map in a message."""
     targets = list(message.targets)
     return KeyMap(
         service=message.service,
@@ -93,7 +93,7 @@
 
 
 def encode_key_map_change(key_map: KeyMap, changes: list[OwnerChange]) -> Item:
-    """Return what a map changed of the one before as an item."""
+    """Return the changes between a key map and the previous one as a message."""
     return pb.Item(
         key_map_change=pb.KeyMapChange(
             service=key_map.service,
@@ -107,7 +107,7 @@
 
 
 def decode_owner_changes(message: Item) -> list[OwnerChange]:
-    """Return the changes in a message."""
+    """Return the owner changes in a message."""
     rows = zip(message.firsts, message.lasts, message.owners, strict=True)
     return [
         OwnerChange(first=first, last=last, owner=owner) for first, last, owner in rows
@@ -115,7 +115,7 @@
 
 
 def encode_issuers(issuers: PermitIssuers) -> Item:
-    """Return a list of issuers as an item."""
+    """Return a list of issuers as a message."""
     return pb.Item(
         issuers=pb.Issuers(
             term=issuers.term,
--- a/swiftpin/router/fleet_size.py
+++ b/swiftpin/router/fleet_size.py
@@ -1,4 +1,4 @@
-"""How many instances share what the fleet as a whole may spend."""
+"""Number of instances that share the limits of the whole fleet."""
 
 from __future__ import annotations
 
@@ -8,30 +8,30 @@
 from swiftpin.core import callback
 
 MAX_HOLDER_SILENCE: Final = 3.0
-"""Seconds without the holder of the lease after which an instance counts as cut off;
-longer than a takeover."""
+"""Seconds without a heartbeat of the lease holder after which an instance counts as
+disconnected; longer than a takeover."""
 
 ANNOUNCEMENT_TIME: Final = MAX_HOLDER_SILENCE + 2.0
-"""Seconds after which everyone has been told of an instance that is in touch with the
-holder, or counts as cut off."""
+"""Seconds after which every instance either has received the count that includes a new
+instance, or counts as disconnected."""
 
 COUNT_RETENTION: Final = 60.0
-"""Seconds for which a count is remembered. A new holder hears the members one after the
-other and tells too few of them at first."""
+"""Seconds for which a count stays in effect. The members connect to a new holder one
+after the other, so its first counts are too low."""
 
 HEADROOM_DIVISOR: Final = 8
-"""Part of the members by which the count that is told may exceed their number, so that
-not every start is told to everyone."""
+"""The announced count may exceed the number of members by one part in this many, so
+that not every start of an instance requires a new announcement."""
 
 
 class FleetSize:
-    """Upper bound of the instances that take a share of a limit of the fleet.
+    """Upper bound for the number of instances that share a limit of the fleet.
 
-    Every instance takes its share by itself. The shares add up to the whole at most
-    if each of those that take one counts all the others that do. So only an instance
-    in touch with the holder of the lease takes one, and by the greatest count that it
-    was told lately. Instances that end have forgotten what they spent: one that has
-    just started takes no share until all that has left the limit's window.
+    Every instance computes its share by itself. The shares add up to at most the limit
+    if each instance that uses one counts all the others that do. Therefore only an
+    instance connected to the lease holder uses a share, computed from the highest count
+    announced recently. A restarted instance does not know what it used before, so it
+    uses no share until that usage has left the limit's window.
     """
 
     def __init__(self) -> None:
@@ -41,7 +41,7 @@
 
     @callback
     def record_member_count(self, members: int, now: float) -> None:
-        """Take the count that the holder, heard at present, has told."""
+        """Record the count announced by the currently connected holder."""
         if not self._is_connected(now):
             self._connected_since = now
         self._last_heard_at = now
@@ -53,18 +53,20 @@
 
     @callback
     def members(self, window: float, now: float) -> int | None:
-        """Return the bound, for a limit that holds for each `window` of some seconds.
+        """Return the bound for a limit per window, whose length is given in seconds.
 
-        None while this instance takes no share.
+        Return None while this instance must not use a share.
         """
-        in_touch = now - self._connected_since if self._is_connected(now) else 0.0
-        if in_touch < window + ANNOUNCEMENT_TIME:
+        connected_seconds = (
+            now - self._connected_since if self._is_connected(now) else 0.0
+        )
+        if connected_seconds < window + ANNOUNCEMENT_TIME:
             return None
         return self._counts[0][1]
 
     @callback
     def _is_connected(self, now: float) -> bool:
-        """Return whether a holder was heard lately."""
+        """Return whether a holder was connected recently."""
         return (
             self._last_heard_at is not None
             and now - self._last_heard_at <= MAX_HOLDER_SILENCE
@@ -73,8 +75,11 @@
 
 @callback
 def member_count_to_announce(members: int, announced: int) -> int:
-    """Return the count to tell, at least the members; `told` was told last."""
-    most = members + members // HEADROOM_DIVISOR
-    if members <= announced <= most + members // HEADROOM_DIVISOR + 1:
+    """Return the count to announce, at least `members`.
+
+    `announced` is the last announced count; it is kept while it is close enough.
+    """
+    preferred = members + members // HEADROOM_DIVISOR
+    if members <= announced <= preferred + members // HEADROOM_DIVISOR + 1:
         return announced
-    return most
+    return preferred
--- a/swiftpin/router/gossip.py
+++ b/swiftpin/router/gossip.py
@@ -1,4 +1,4 @@
-"""Configurations, lists of targets and key maps that neighbours tell each other."""
+"""Exchange of configurations, target lists and key maps between neighbours."""
 
 from __future__ import annotations
 
@@ -29,16 +29,16 @@
 from swiftpin.router.watch_duty import WatchDuty, choose_configuration_watchers
 
 REQUEST_DELAY: Final = 0.2
-"""Seconds for which an instance that is told of changes stays behind before it asks a
-neighbour: what the store or the lease's holder sends is most likely on its way."""
+"""Seconds for which an instance that receives changes directly waits before it asks a
+neighbour: the update from the store or the lease holder is probably on its way."""
 
 
 class Gossip:
-    """Asks neighbours that know something newer for it, and answers such questions.
+    """Requests newer documents from neighbours and answers such requests.
 
-    Versions in the heartbeats tell who knows more. That is how an instance learns
-    changes that the store keeps from it, and how most of a large fleet learns all of
-    them.
+    The versions in heartbeats show which neighbour is ahead. An instance that has lost
+    the store receives its updates this way, and so do most instances of a large fleet
+    at all times.
     """
 
     def __init__(
@@ -82,18 +82,20 @@
             announced_version=lambda heartbeat: int(heartbeat.evacuations),
             choose_watchers=choose_configuration_watchers,
         )
-        make_ask = partial(DocumentRequester, links=links, rng=Random(incarnation))
-        self._configuration_requester = make_ask(
+        make_requester = partial(
+            DocumentRequester, links=links, rng=Random(incarnation)
+        )
+        self._configuration_requester = make_requester(
             is_ahead=lambda heartbeat: heartbeat.configuration > configuration.version,
             send_request=self._request_configuration,
             delay=partial(_request_delay, self.configuration_duty),
         )
-        self._targets_requester = make_ask(
+        self._targets_requester = make_requester(
             is_ahead=lambda heartbeat: heartbeat.targets > directory.version,
             send_request=self._request_targets,
             delay=partial(_request_delay, self.targets_duty),
         )
-        self._key_maps_requester = make_ask(
+        self._key_maps_requester = make_requester(
             is_ahead=lambda heartbeat: _maps_version(heartbeat) > maps.version,
             send_request=_request_key_maps,
             delay=lambda: REQUEST_DELAY if maps.maps_by_service else 0.0,
@@ -106,88 +108,90 @@
 
     @callback
     def _confirm_targets(self) -> None:
-        """Note that the lease's holder knows of the targets what this instance does."""
+        """Mark the target list as confirmed if the lease holder has this version."""
         if self.holder_view.confirmed_version() == self._directory.version:
             self._directory.note_confirmed(suspend_aware_now() - GOSSIP_LAG)
 
     @callback
     def request_updates(self) -> None:
-        """Ask neighbours that know something newer for it."""
+        """Request newer documents from the neighbours that have them."""
         now = asyncio.get_running_loop().time()
         self.targets_duty.update_settled_version(now)
         self.configuration_duty.update_settled_version(now)
         self.evacuations_duty.update_settled_version(now)
         self.holder_view.update(now)
         self._confirm_targets()
-        for ask in self._requesters:
-            ask.update(now)
+        for requester in self._requesters:
+            requester.update(now)
         self._configuration.lag.has_source = (
             self._configuration_requester.is_behind or not self._health.is_lost
         )
 
     @callback
     def handle_heartbeat(self) -> None:
-        """Ask for key maps at once while none is known, as after a start."""
+        """Request key maps immediately if none is known, as after a start."""
         if not self._maps.maps_by_service:
             self._key_maps_requester.update(asyncio.get_running_loop().time())
 
     @callback
     def request_key_maps(self, link: PeerLink) -> None:
-        """Ask a neighbour for all key maps, unless they are on their way."""
+        """Request all key maps from a neighbour, unless an answer is pending."""
         self._key_maps_requester.request(link, asyncio.get_running_loop().time())
 
     @callback
     def _request_configuration(self, link: PeerLink) -> None:
-        """Ask a neighbour for its configuration."""
-        ask = pb.ConfigurationAsk(version=self._configuration.version)
-        link.send(pb.Item(configuration_ask=ask))
+        """Request the configuration of a neighbour."""
+        request = pb.ConfigurationAsk(version=self._configuration.version)
+        link.send(pb.Item(configuration_ask=request))
 
     @callback
     def _request_targets(self, link: PeerLink) -> None:
-        """Ask a neighbour for the targets that changed since this instance's list."""
+        """Request the targets that changed since this instance's list."""
         link.send(pb.Item(update_ask=pb.UpdateAsk(targets=self._directory.version)))
 
     @callback
-    def send_configuration(self, link: PeerLink, ask: Item) -> None:
-        """Answer a neighbour whose configuration is an older one."""
-        link.send_document(partial(self._make_configuration, link, ask))
+    def send_configuration(self, link: PeerLink, request: Item) -> None:
+        """Send the configuration to a neighbour that has an older one."""
+        link.send_document(partial(self._make_configuration, link, request))
 
     @callback
-    def _make_configuration(self, link: PeerLink, ask: Item) -> Item | None:
-        """Return the configuration, None if the neighbour has it by now."""
-        told = 0 if link.heartbeat is None else link.heartbeat.configuration
-        if max(ask.version, told) >= self._configuration.version:
+    def _make_configuration(self, link: PeerLink, request: Item) -> Item | None:
+        """Return the configuration, None if the neighbour already has it."""
+        announced = 0 if link.heartbeat is None else link.heartbeat.configuration
+        if max(request.version, announced) >= self._configuration.version:
             return None
         document = pb.ConfigurationDocument(packed=self._configuration.packed)
         return pb.Item(configuration=document)
 
     @callback
-    def send_targets(self, link: PeerLink, ask: Item) -> None:
-        """Answer a neighbour that lacks changes of the targets."""
-        link.send_document(partial(self._make_update, link, ask))
+    def send_targets(self, link: PeerLink, request: Item) -> None:
+        """Send changed targets to a neighbour that has an older list."""
+        link.send_document(partial(self._make_update, link, request))
 
     @callback
-    def _make_update(self, link: PeerLink, ask: Item) -> Item | None:
-        """Return what changed since a neighbour's list, None if it knows by now."""
-        told = 0 if link.heartbeat is None else link.heartbeat.targets
-        if max(ask.targets, told) >= self._directory.version:
+    def _make_update(self, link: PeerLink, request: Item) -> Item | None:
+        """Return the changes since a neighbour's list, None if it already has them."""
+        announced = 0 if link.heartbeat is None else link.heartbeat.targets
+        if max(request.targets, announced) >= self._directory.version:
             return None
         now = suspend_aware_now()
         update = pb.Update(
             targets_revision=self._directory.version,
-            targets=encode_target_list(self._directory.targets_since(ask.targets, now)),
+            targets=encode_target_list(
+                self._directory.targets_since(request.targets, now)
+            ),
             target_ids=[target.id for target in self._directory.present_targets()],
         )
         return pb.Item(update=update)
 
     @callback
     def handle_key_map(self) -> None:
-        """Note that a neighbour sent a whole key map."""
+        """Handle the arrival of a complete key map."""
         self._key_maps_requester.note_answer()
 
     @callback
     def handle_configuration(self, message: Item) -> None:
-        """Take the configuration that a neighbour knows."""
+        """Adopt a configuration sent by a neighbour."""
         self._configuration.adopt_packed(
             message.packed,
             suspend_aware_now(),
@@ -196,7 +200,7 @@
 
     @callback
     def handle_targets(self, update: Item) -> None:
-        """Take what a neighbour knows of the targets."""
+        """Adopt target changes sent by a neighbour."""
         self._targets_requester.note_answer()
         try:
             targets = decode_target_list(update.targets)
@@ -213,17 +217,17 @@
 
 @callback
 def _request_delay(duty: WatchDuty) -> float:
-    """Return the seconds to wait for the store before a neighbour is asked."""
+    """Return the seconds to wait for the store before asking a neighbour."""
     return 0.0 if duty.is_skipped() else REQUEST_DELAY
 
 
 @callback
 def _maps_version(heartbeat: Item) -> tuple[int, int]:
-    """Return the version of a neighbour's key maps."""
+    """Return the version of a neighbour's key maps as term and sum of numbers."""
     return heartbeat.maps_term, heartbeat.maps_number
 
 
 @callback
 def _request_key_maps(link: PeerLink) -> None:
-    """Ask a neighbour for all its key maps."""
+    """Request all key maps from a neighbour."""
     link.send(pb.Item(key_map_ask=pb.KeyMapAsk()))
--- a/swiftpin/router/heartbeats.py
+++ b/swiftpin/router/heartbeats.py
@@ -1,4 +1,4 @@
-"""What heartbeats between instances carry."""
+"""Content of the heartbeats between instances."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Heartbeats:
-    """Makes an instance's heartbeats and takes those of others."""
+    """Creates the heartbeats of an instance and handles those it receives."""
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
 
     @callback
     def handle(self, link: PeerLink, heartbeat: pb.Heartbeat) -> None:
-        """Take a heartbeat that came over a link."""
+        """Process a heartbeat received over a link."""
         link.heartbeat = heartbeat
         now = suspend_aware_now()
         self._configuration.note_announced_version(heartbeat.configuration, now)
--- a/swiftpin/router/holder_view.py
+++ b/swiftpin/router/holder_view.py
@@ -1,4 +1,4 @@
-"""What the lease's holder and the neighbours say of the store."""
+"""Store health as reported by the lease holder and the neighbours."""
 
 from __future__ import annotations
 
@@ -11,33 +11,33 @@
 from swiftpin.fleet.links import FleetLinks
 
 HOLDER_CATCH_UP_TIME: Final = 2.0
-"""Seconds for which the lease's holder must have said that it hears the store until its
-word confirms anything: its lease may be answered while its watch, which waits 1.4 s at
-most, has still to bring what happened in an outage."""
+"""Seconds for which the lease holder must have reported a reachable store before it
+confirms anything. After an outage its lease renewal may succeed while its watch, which
+takes up to 1.4 s, has not yet delivered the changes made during the outage."""
 
 
 class HolderView:
-    """Tells whether an instance that falls behind the store would be told.
+    """Decides whether this instance would be notified of changes it has missed.
 
-    The holder of the lease alone is relied on: its own watches are short, so what it
-    knows is new. Two others whose watches have both fallen silent would confirm each
-    other.
+    Only the lease holder is trusted: its watches are short, so its information is
+    recent. Two other instances whose watches both lost their connection would confirm
+    each other's outdated state.
     """
 
     def __init__(self, links: FleetLinks) -> None:
         self.store_reports = 0
-        """How often a neighbour lost the store, or got it back."""
+        """Number of times that neighbours lost the store or reached it again."""
 
         self._links = links
         self._lost_incarnations: set[str] = set()
         self._connected_holder = ""
-        """Incarnation of the holder, if it is heard and hears the store."""
+        """Incarnation of the holder, if it is responsive and reaches the store."""
 
         self._connected_since = 0.0
 
     @callback
     def is_confirmed(self) -> bool:
-        """Return whether the holder would tell of a change."""
+        """Return whether the holder would announce a change."""
         now = asyncio.get_running_loop().time()
         link = self._holder_link(now)
         return (
@@ -48,7 +48,7 @@
 
     @callback
     def confirmed_version(self) -> int | None:
-        """Return the version of the targets that the holder knows, if it is new."""
+        """Return the holder's version of the targets, None if it is not confirmed."""
         link = self._holder_link(asyncio.get_running_loop().time())
         if link is None or not self.is_confirmed():
             return None
@@ -57,7 +57,7 @@
 
     @callback
     def update(self, now: float) -> None:
-        """Note since when the holder hears the store, and who lost it."""
+        """Update which holder reaches the store and which neighbours have lost it."""
         link = self._holder_link(now)
         holder = "" if link is None else link.incarnation
         if holder != self._connected_holder:
@@ -74,10 +74,10 @@
 
     @callback
     def _holder_link(self, now: float) -> PeerLink | None:
-        """Return a link to the holder, if it is heard and hears the store.
+        """Return a link to the holder, if it is responsive and reaches the store.
 
-        An instance that froze as the holder may still say so for a moment when it
-        wakes up; whoever has the higher term is the holder.
+        An instance that froze while it was the holder may still claim the lease for a
+        moment after it resumes; the one with the highest term is the holder.
         """
         links = [
             link
@@ -92,6 +92,6 @@
 
 @callback
 def _term(link: PeerLink) -> int:
-    """Return the term that a neighbour told last."""
+    """Return the last term that a neighbour announced."""
     heartbeat: Item = link.heartbeat
     return int(heartbeat.term)
--- a/swiftpin/router/issuer_list.py
+++ b/swiftpin/router/issuer_list.py
@@ -1,4 +1,4 @@
-"""Choice of the instances that issue permits, and telling all of it."""
+"""Selection of the permit issuers and publication of the list."""
 
 from __future__ import annotations
 
@@ -20,18 +20,19 @@
 from swiftpin.router.watch_duty import choose_configuration_watchers
 
 MAX_CANDIDATES: Final = 16
-"""Instances named in the lease; the record is written several times a second."""
+"""Maximum number of members named in the lease record, which is written several
+times per second."""
 
 
 class IssuerList:
-    """Keeps the list of issuers at an instance; the lease's holder chooses it."""
+    """Maintains an instance's list of issuers; the lease holder selects them."""
 
     def __init__(
         self,
         *,
         incarnation: str,
         own_peer: str,
-        strength: float,
+        cpu_capacity: float,
         links: FleetLinks,
         lease: LeaseElection,
         permits: PermitBroker,
@@ -40,7 +41,7 @@
     ) -> None:
         self._incarnation = incarnation
         self._own_peer = own_peer
-        self._strength = strength
+        self._cpu_capacity = cpu_capacity
         self._links = links
         self._lease = lease
         self._permits = permits
@@ -51,29 +52,32 @@
 
     @callback
     def update(self, now: float) -> None:
-        """Choose the issuers, and tell everyone when the list has changed."""
+        """Select the issuers and publish the list if it has changed."""
         members = self._eligible_members()
-        strengths = {name: strength for name, (strength, _) in members.items()}
+        cpu_capacities = {
+            name: cpu_capacity for name, (cpu_capacity, _) in members.items()
+        }
         self._lease.members = tuple(
-            name.partition("/")[0] for name in by_strength(strengths)[:MAX_CANDIDATES]
+            name.partition("/")[0]
+            for name in by_strength(cpu_capacities)[:MAX_CANDIDATES]
         )
-        present = self._permits.issuers
+        current = self._permits.issuers
         chosen = choose_issuers(
-            strengths,
-            present=present.peers_by_incarnation,
+            cpu_capacities,
+            present=current.peers_by_incarnation,
             assigner=self._incarnation,
             targets=len(self._directory.targets_by_id),
         )
         chosen = self._order_for_watching(chosen)
         issuers = {name: members[name][1] for name in chosen}
-        count = member_count_to_announce(self._count_members(now), present.members)
+        count = member_count_to_announce(self._count_members(now), current.members)
         is_same = (
-            issuers == present.peers_by_incarnation
+            issuers == current.peers_by_incarnation
             and choose_configuration_watchers(issuers)
-            == choose_configuration_watchers(present.peers_by_incarnation)
-            and count == present.members
+            == choose_configuration_watchers(current.peers_by_incarnation)
+            and count == current.members
         )
-        if is_same and present.term == self._lease.term:
+        if is_same and current.term == self._lease.term:
             return
         self._number += 1
         self._permits.issuers = PermitIssuers(
@@ -87,10 +91,10 @@
 
     @callback
     def _order_for_watching(self, chosen: list[str]) -> list[str]:
-        """Return the issuers, first those that hear the store.
+        """Return the issuers with those that can reach the store first.
 
-        The first of them watch the configuration for the others; with watchers that
-        the store turns away every instance would have to watch by itself.
+        The first issuers watch the configuration for the whole fleet. If they could
+        not reach the store, every instance would have to watch by itself.
         """
         lost = {
             link.incarnation
@@ -106,9 +110,9 @@
 
     @callback
     def adopt(self, issuers: PermitIssuers) -> None:
-        """Take a list, unless it is older than the present one."""
-        present = self._permits.issuers
-        if (issuers.term, issuers.number) <= (present.term, present.number):
+        """Adopt a list if it is newer than the current one."""
+        current = self._permits.issuers
+        if (issuers.term, issuers.number) <= (current.term, current.number):
             return
         self._permits.issuers = issuers
         log_message(
@@ -121,9 +125,10 @@
 
     @callback
     def _count_members(self, now: float) -> int:
-        """Return how many instances may spend a share of the fleet's limits.
+        """Return how many instances may use a share of the fleet's limits.
 
-        Those that end still do, and one that is cut off does for a while.
+        Stopping instances are included, since they still send requests, and so are
+        disconnected ones for `MAX_HOLDER_SILENCE` seconds.
         """
         for link in self._links.live_links():
             if not link.is_outgoing:
@@ -137,8 +142,8 @@
 
     @callback
     def _eligible_members(self) -> dict[str, tuple[float, str]]:
-        """Return strength and address of each instance that stays, by incarnation."""
-        members = {self._incarnation: (self._strength, self._own_peer)}
+        """Return CPU capacity and address of each instance that is not stopping."""
+        members = {self._incarnation: (self._cpu_capacity, self._own_peer)}
         for link in self._links.live_links():
             if link.is_outgoing or link.heartbeat is None or link.heartbeat.stopping:
                 continue
--- a/swiftpin/router/key_map_sharing.py
+++ b/swiftpin/router/key_map_sharing.py
@@ -1,4 +1,4 @@
-"""Key maps on their way between instances."""
+"""Distribution of key maps between instances."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class KeyMapSharing:
-    """Hands maps out whole or as changes, and asks for what was missed."""
+    """Publishes key maps, complete or as changes, and requests missed ones."""
 
     def __init__(
         self,
@@ -31,18 +31,18 @@
         self._links = links
         self._maps = maps
         self._request_all = request_all
-        """Called with the neighbour that sent a change of a map that is not known."""
+        """Called with a neighbour whose change does not follow the known map."""
 
     @callback
     def publish(self, key_map: KeyMap) -> None:
-        """Give a new map to everyone, as far as it differs from the last one.
+        """Send a new map to all instances, as a change if it follows the previous map.
 
-        The whole map of 200 targets takes 10 KB, and each move changes it twice.
+        The complete map of 200 targets takes 10 KB, and each move changes it twice.
         """
-        before = self._maps.maps_by_service.get(key_map.service)
+        previous = self._maps.maps_by_service.get(key_map.service)
         self._maps.adopt(key_map)
-        if before is not None and _is_successor(key_map, before):
-            change = encode_key_map_change(key_map, key_map.changes_since(before))
+        if previous is not None and _is_successor(key_map, previous):
+            change = encode_key_map_change(key_map, key_map.changes_since(previous))
             for link in self._links.incoming:
                 link.send_after_documents(change)
             return
@@ -51,18 +51,18 @@
 
     @callback
     def send_all(self, link: PeerLink) -> None:
-        """Give all maps whole."""
+        """Send all maps in complete form over a link."""
         for service in self._maps.maps_by_service:
             link.send_document(partial(self._encode, service))
 
     @callback
     def _encode(self, service: str) -> Item:
-        """Return the present map of a service."""
+        """Return the current map of a service as a message."""
         return encode_key_map(self._maps.maps_by_service[service])
 
     @callback
     def handle_change(self, link: PeerLink, change: pb.KeyMapChange) -> None:
-        """Take what changed of a map; ask for the whole when one was missed."""
+        """Apply a change to its map; request all maps if an earlier one was missed."""
         known = self._maps.maps_by_service.get(change.service)
         changed = (change.term, change.number)
         if known is not None and changed == (known.term, known.number + 1):
@@ -74,5 +74,5 @@
 
 @callback
 def _is_successor(key_map: KeyMap, previous: KeyMap) -> bool:
-    """Return whether a map is the next one after another."""
+    """Return whether a map directly follows the previous one."""
     return (key_map.term, key_map.number) == (previous.term, previous.number + 1)
--- a/swiftpin/router/key_maps.py
+++ b/swiftpin/router/key_maps.py
@@ -1,4 +1,4 @@
-"""Key maps of all services at an instance."""
+"""Key maps of all services known to an instance."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from swiftpin.keyranges.key_map import KeyMap
 
 MIN_LOG_INTERVAL: Final = 1.0
-"""Seconds between two lines about a service's map."""
+"""Minimum seconds between two log lines about the map of one service."""
 
 DENIAL_TIME: Final = 0.25
-"""Seconds for which nothing is sent for a range whose owner does not hold it: renewals
-come four times as often when a target has lost its grants."""
+"""Seconds for which no request is sent for a range after its owner denied holding it.
+Renewals are four times as frequent when a target has lost its grants."""
 
 
 class KeyMaps:
-    """The newest map of each service, and waiting for a newer one."""
+    """Holds the newest key map of each service and notifies of newer ones."""
 
     def __init__(self) -> None:
         self.maps_by_service: dict[str, KeyMap] = {}
         self.on_change: Callable[[str], None] = _noop
-        """Called with the name of a service whose map is another one."""
+        """Called with the name of a service after its map has changed."""
 
         self._changes_by_service: dict[str, asyncio.Event] = {}
         self._logged_by_service: dict[str, tuple[float, int]] = {}
@@ -34,14 +34,14 @@
 
     @property
     def version(self) -> tuple[int, int]:
-        """Return the maps' term and the sum of their numbers."""
+        """Return the newest term and the sum of the map numbers in that term."""
         maps = self.maps_by_service.values()
         term = max((key_map.term for key_map in maps), default=0)
         return term, sum(key_map.number for key_map in maps if key_map.term == term)
 
     @callback
     def adopt(self, key_map: KeyMap) -> bool:
-        """Take a map if it is newer; return whether it was."""
+        """Adopt a map if it is newer; return whether it was."""
         if not key_map.is_newer_than(self.maps_by_service.get(key_map.service)):
             return False
         self.maps_by_service[key_map.service] = key_map
@@ -55,10 +55,10 @@
 
     @callback
     def _log(self, key_map: KeyMap) -> None:
-        """Write a line for a map, unless one was written a moment ago.
+        """Log a new map, at most once per `MIN_LOG_INTERVAL` in the same term.
 
-        While hot keys are shared out a map changes many times a second; requests' own
-        lines name the map that they were decided by.
+        While hot keys are redistributed a map changes many times per second. The log
+        line of each request names the map that decided its target.
         """
         now = suspend_aware_now()
         logged_at, term = self._logged_by_service.get(key_map.service, (0.0, 0))
@@ -75,7 +75,7 @@
 
     @callback
     def record_denial(self, service: str, key: int, now: float) -> None:
-        """Note that the owner of a key said that it does not hold it."""
+        """Record that the owner of a key denied holding it."""
         key_map = self.maps_by_service.get(service)
         if key_map is None:
             return
@@ -84,10 +84,10 @@
 
     @callback
     def is_denied(self, service: str, key: int, now: float) -> bool:
-        """Return whether the owner of a key lately said that it does not hold it.
+        """Return whether the owner of a key recently denied holding it.
 
-        The target's grant has ended, or its keys are just leaving it. Sending on would
-        bring refusals only, and use up the retries that other requests need.
+        Either the target's grant has expired or its keys are being moved. Further
+        requests would only be refused and use up the retry budget of other requests.
         """
         denied = self._denied_by_service.get(service)
         if not denied:
@@ -96,7 +96,7 @@
 
     @callback
     def owner_of(self, service: str, key: int) -> str:
-        """Return the target that serves a key, empty when none is known."""
+        """Return the target that owns a key, empty if none is known."""
         key_map = self.maps_by_service.get(service)
         return "" if key_map is None else key_map.owner_of(key)
 
--- a/swiftpin/router/known_leader.py
+++ b/swiftpin/router/known_leader.py
@@ -1,4 +1,4 @@
-"""Who holds the lease, as far as this instance knows."""
+"""The lease holder as known to this instance."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from swiftpin.keyranges.lease_record import LeaseRecord
 
 LEADER_HEARTBEAT_TIMEOUT: Final = 0.65
-"""Seconds without a heartbeat after which candidates begin to look at the lease;
-with one heartbeat late nothing is lost but some reads."""
+"""Seconds without a heartbeat after which candidates begin to read the lease; a single
+late heartbeat costs only a few reads."""
 
 
 class KnownLeader:
-    """Newest record of the lease, from the store or from other instances."""
+    """Holds the newest lease record, from the store or from other instances."""
 
     def __init__(self, links: FleetLinks) -> None:
         self.record = LeaseRecord(holder="", peer="", term=0, renewal=0)
@@ -23,13 +23,13 @@
 
     @callback
     def adopt_record(self, record: LeaseRecord) -> None:
-        """Take a record that was read or written in the store."""
+        """Adopt a record that was read from or written to the store, unless older."""
         if (record.term, record.renewal) >= (self.record.term, self.record.renewal):
             self.record = record
 
     @callback
     def adopt_heartbeat(self, heartbeat: pb.Heartbeat) -> None:
-        """Take what another instance knows, if its term is newer."""
+        """Adopt the holder announced in a heartbeat if its term is newer."""
         if heartbeat.term <= self.record.term:
             return
         self.record = LeaseRecord(
@@ -41,9 +41,9 @@
 
     @callback
     def is_holder_alive(self, term: int, now: float) -> bool:
-        """Return whether another instance says that it holds the lease, since a term.
+        """Return whether recent heartbeats claim the lease in this or a later term.
 
-        `now` is on the event loop's clock, as the times of links are.
+        `now` is a time of the event loop's clock, like the timestamps of links.
         """
         return any(
             link.heartbeat is not None
--- a/swiftpin/router/leader.py
+++ b/swiftpin/router/leader.py
@@ -1,4 +1,4 @@
-"""Duties of the instance that holds the lease."""
+"""Duties of the lease holder."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from swiftpin.router.configuration_holder import ConfigurationHolder
 
 POLL_INTERVAL: Final = 0.1
-"""Seconds between two looks whether this instance leads."""
+"""Seconds between two checks whether this instance holds the lease."""
 
 
 class Leader:
-    """Runs an assigner for each service divided by key while the lease is held."""
+    """Runs an assigner for each keyed service while this instance holds the lease."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         self._term = 0
 
     async def async_run(self) -> None:
-        """Lead whenever the lease is held, until cancelled."""
+        """Run the assigners whenever the lease is held, until cancelled."""
         try:
             while True:
                 now = suspend_aware_now()
@@ -55,16 +55,16 @@
 
     @callback
     def update_candidacy(self) -> None:
-        """Be ready for the lease as soon as there is a configuration.
+        """Become a candidate for the lease as soon as there is a configuration.
 
-        The targets need not be known: their grants may end before they are.
+        The targets need not be known yet: their grants could expire before they are.
         """
         if self._configuration.current is not None:
             self._lease.note_willing()
 
     @callback
     def handle_load_report(self, report: Item) -> None:
-        """Take what an instance was asked for."""
+        """Pass an instance's load report to the assigners."""
         for load in report.loads:
             assigner = self._assigners_by_service.get(load.service)
             if assigner is not None:
@@ -82,7 +82,7 @@
 
     @callback
     def _run_assigners(self) -> None:
-        """Run an assigner for each service that has keys."""
+        """Start missing assigners, one for each keyed service."""
         if self._term != self._lease.term:
             self._stop_assigners()
             self._term = self._lease.term
@@ -112,7 +112,7 @@
 
     @callback
     def _stop_assigners(self) -> None:
-        """Stop all assigners; the grants go on until they end."""
+        """Stop all assigners; existing grants stay valid until they expire."""
         for task in self._tasks_by_service.values():
             task.cancel()
         self._tasks_by_service.clear()
--- a/swiftpin/router/load_reports.py
+++ b/swiftpin/router/load_reports.py
@@ -1,4 +1,4 @@
-"""Reports of an instance's load to the one that assigns keys."""
+"""Load reports to the instance that assigns keys."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 from swiftpin.router.known_leader import KnownLeader
 
 MIN_REPORT_INTERVAL: Final = 0.2
-"""Seconds between two reports of an instance of a small fleet: hot keys change within
-seconds."""
+"""Seconds between two load reports of an instance in a small fleet: hot keys change
+within seconds."""
 
 FULL_RATE_MEMBERS: Final = 36
-"""Instances above which each reports its load less often, in proportion: the one that
-assigns keys takes all reports."""
+"""Maximum fleet size with the full report rate. In larger fleets each instance reports
+proportionally less often, since one instance handles all reports."""
 
 
 class LoadReports:
-    """Takes an instance's reports to the holder of the lease."""
+    """Sends the load reports of an instance to the lease holder."""
 
     def __init__(
         self, links: FleetLinks, leader: KnownLeader, lease: LeaseElection
     ) -> None:
         self.on_load: Callable[[Item], None] = _noop
-        """Takes the reports while this instance holds the lease."""
+        """Handles the reports received while this instance holds the lease."""
 
         self._links = links
         self._leader = leader
@@ -36,7 +36,7 @@
 
     @callback
     def send(self, report: LoadReport, now: float) -> None:
-        """Tell the instance that assigns keys what was asked for here."""
+        """Send a report to the lease holder, or handle it if this is the holder."""
         if not report.counts_by_service and not report.seconds_by_target:
             return
         item = encode_load(report)
@@ -50,7 +50,7 @@
 
 @callback
 def report_interval(members: int) -> float:
-    """Return the seconds between two reports of an instance."""
+    """Return the seconds between two load reports of one instance."""
     return MIN_REPORT_INTERVAL * max(1.0, members / FULL_RATE_MEMBERS)
 
 
--- a/swiftpin/router/planned_stop.py
+++ b/swiftpin/router/planned_stop.py
@@ -1,4 +1,4 @@
-"""Leaving of an instance that is told to stop."""
+"""Graceful shutdown of an instance."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 from swiftpin.router.request_handler import RequestHandler
 
 BALANCER_REMOVAL_TIME: Final = 2.4
-"""Seconds for which a leaving instance still listens: the balancer asks once a second
-and takes it out after two refusals."""
+"""Seconds for which a stopping instance still accepts connections: the load balancer
+polls it once per second and removes it after two refusals."""
 
 STOP_MARGIN: Final = 0.8
-"""Seconds before the end of the grace period at which the process ends by itself: to
-close everything takes a slow instance some tenths of a second."""
+"""Seconds before the end of the grace period at which the process starts to exit:
+closing everything takes a slow instance some tenths of a second."""
 
 QUEUE_WAIT_SHARE: Final = 0.6
-"""Part of the grace period for which requests may still wait for a slot; the rest is
-for those that a target has."""
+"""Share of the grace period during which requests may still wait for a slot; the rest
+is reserved for requests that a target is already processing."""
 
 STOP_POLL_INTERVAL: Final = 0.02
-"""Seconds between two looks whether a leaving instance may end."""
+"""Seconds between two checks whether a stopping instance may exit."""
 
 
 class PlannedStop:
-    """Serves what is in flight, gives duties away, and ends in time."""
+    """Finishes requests in flight and releases the lease within the grace period."""
 
     def __init__(
         self,
@@ -50,22 +50,22 @@
         self._handler = handler
 
     async def async_run(self, grace: float) -> None:
-        """Leave within the grace period, given in seconds."""
+        """Shut down within `grace` seconds."""
         handler = self._handler
         log_message(message_type="instance_leaving", in_flight=handler.in_flight)
         self._lifecycle.leaving = True
         loop = asyncio.get_running_loop()
-        began_at = loop.time()
-        ends_at = began_at + grace - STOP_MARGIN
-        listens_until = began_at + BALANCER_REMOVAL_TIME
-        waits_until = began_at + grace * QUEUE_WAIT_SHARE
-        while loop.time() < ends_at:
+        started_at = loop.time()
+        exit_at = started_at + grace - STOP_MARGIN
+        listen_until = started_at + BALANCER_REMOVAL_TIME
+        queue_until = started_at + grace * QUEUE_WAIT_SHARE
+        while loop.time() < exit_at:
             if not self._must_keep_lease(suspend_aware_now()):
                 await self._lease.async_give_up()
-            if loop.time() >= listens_until:
+            if loop.time() >= listen_until:
                 self._callers.stop_listening()
                 handler.refuse_new()
-            if loop.time() >= waits_until:
+            if loop.time() >= queue_until:
                 handler.refuse_waiting()
                 if not handler.in_flight and not self._must_keep_lease(
                     suspend_aware_now()
@@ -77,9 +77,9 @@
 
     @callback
     def _must_keep_lease(self, now: float) -> bool:
-        """Return whether nobody could take the lease over now.
+        """Return whether the lease must be kept because nobody could take it over.
 
-        While the store is away a lease that is given up stays without a holder, and
-        all keys lose their owners when the targets' grants end.
+        While the store is unreachable a released lease stays without a holder, and all
+        keys lose their owners when the targets' grants expire.
         """
         return self._health.is_lost and self._lease.is_held(now)
--- a/swiftpin/router/watch_duty.py
+++ b/swiftpin/router/watch_duty.py
@@ -1,4 +1,4 @@
-"""Which instances watch the store for the others."""
+"""Selection of the instances that watch the store for the whole fleet."""
 
 from __future__ import annotations
 
@@ -17,37 +17,37 @@
 from swiftpin.permits.permit_broker import PermitBroker
 
 SMALL_FLEET_SIZE: Final = 12
-"""Instances up to which each watches the store itself."""
+"""Maximum fleet size at which every instance watches the store itself."""
 
 CONFIGURATION_WATCHERS: Final = 3
-"""Issuers that watch the configuration beside the holder of the lease."""
+"""Number of issuers that watch the configuration, in addition to the lease holder."""
 
 MIN_WATCHERS: Final = 2
-"""Watchers that must be heard, without which an instance watches by itself."""
+"""Minimum number of reliable watchers; with fewer an instance watches by itself."""
 
 VERSION_SETTLE_TIME: Final = 1.2
-"""Seconds after which a watcher must have told a version: a heartbeat of a busy link
-may be 0.9 s old."""
+"""Seconds within which a watcher must have announced a version: the last heartbeat on a
+busy link may be 0.9 s old."""
 
 MAX_RETRY_DELAY: Final = 3.0
-"""Seconds between two calls of an instance that need not watch, while the store does
-not answer it: the watchers try more often, and tell of the store's return."""
+"""Seconds between two attempts of an instance that need not watch, while the store does
+not answer: the watchers retry more often and announce when the store is back."""
 
 
 @callback
 def choose_configuration_watchers(issuers: Iterable[str]) -> set[str]:
-    """Return those of the issuers, given in order, that watch the configuration."""
+    """Return the issuers that watch the configuration, the first ones in list order."""
     return set(islice(issuers, CONFIGURATION_WATCHERS))
 
 
 class WatchDuty:
-    """Tells whether this instance watches one kind of object in the store itself.
+    """Decides whether this instance watches one kind of object in the store itself.
 
-    The store answers each waiting watch at each change. If all instances of a large
-    fleet watched, calls would grow as instances times changes. The holder of the lease
-    and some issuers watch, and the versions in their heartbeats show a change to the
-    others. All issuers watch the targets: what is learnt from others counts as a second
-    old, which a leaving target's drain time does not leave them.
+    The store answers every open watch at each change. If all instances of a large fleet
+    watched, the calls would grow with instances times changes. Therefore only the lease
+    holder and some issuers watch, and the versions in their heartbeats announce a
+    change to the others. All issuers watch the targets: information from neighbours
+    counts as one second old, and a leaving target's drain time is too short for that.
     """
 
     def __init__(
@@ -71,17 +71,17 @@
         self._announced_version = announced_version
         self._choose_watchers = choose_watchers
         self._settled_version = 0
-        """Version that this instance knew `VERSION_SETTLE_TIME` ago."""
+        """Version that this instance has known for at least `VERSION_SETTLE_TIME`."""
 
         self._pending_version = 0
         self._pending_since = 0.0
 
     @callback
     def is_skipped(self) -> bool:
-        """Return whether others watch and tell this instance of changes.
+        """Return whether other instances watch and announce changes to this one.
 
-        One that has lost the store watches until it is answered: nothing else would
-        show it that the store is back.
+        An instance that has lost the store watches until it gets an answer, because
+        nothing else would show that the store is reachable again.
         """
         if self._health.is_lost or not self._is_exempt():
             return False
@@ -92,18 +92,19 @@
 
     @callback
     def longest_pause(self, shortest: float) -> float:
-        """Return the seconds between two tries while the store does not answer.
+        """Return the seconds between two attempts while the store does not answer.
 
-        `shortest` is the pause of an instance that watches for others.
+        `shortest` is the delay of an instance that watches for others.
         """
         return MAX_RETRY_DELAY if self._is_exempt() else shortest
 
     @callback
     def update_settled_version(self, now: float) -> None:
-        """Note which version is old enough to be known to all watchers.
+        """Update the version that every working watcher must have announced by now.
 
-        Compared with the newest one, watchers seem to know less whenever one of them
-        has just told it, and every instance would then watch the store.
+        Watchers are not compared with the newest version: right after one of them has
+        announced it the others seem to be behind, and every instance would start to
+        watch the store.
         """
         if now - self._pending_since >= VERSION_SETTLE_TIME:
             self._settled_version = self._pending_version
@@ -112,14 +113,14 @@
 
     @callback
     def _is_exempt(self) -> bool:
-        """Return whether this instance is not one of those that watch."""
+        """Return whether this instance is not one of the designated watchers."""
         if not self._is_large() or self._lease.is_held(suspend_aware_now()):
             return False
         return self._incarnation not in self._watcher_names()
 
     @callback
     def _is_large(self) -> bool:
-        """Return whether the fleet is too large for all to watch."""
+        """Return whether the fleet is too large for every instance to watch."""
         return self._permits.issuers.members > SMALL_FLEET_SIZE
 
     @callback
@@ -129,7 +130,7 @@
 
     @callback
     def _watcher_links(self) -> list[PeerLink]:
-        """Return the links to those that watch."""
+        """Return the links to the lease holder and the watching issuers."""
         names = self._watcher_names()
         return [
             link
@@ -140,7 +141,7 @@
 
     @callback
     def _is_reliable(self, link: PeerLink, now: float) -> bool:
-        """Return whether a watcher is heard and would tell of a change."""
+        """Return whether a watcher is responsive and up to date with the store."""
         heartbeat = link.heartbeat
         return (
             heartbeat is not None
--- a/tests/router/fleet_fakes.py
+++ b/tests/router/fleet_fakes.py
@@ -1,4 +1,4 @@
-"""Links between instances that keep what is sent over them."""
+"""Fake peer links that record the messages sent over them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class FakeLink(PeerLink):
-    """A link of an instance with a name; `sent` holds what was sent over it."""
+    """A link to a named instance; `sent` holds the messages sent over it."""
 
     def __init__(
         self, name: str, *, is_outgoing: bool = False, **heartbeat: object
@@ -24,11 +24,11 @@
         self.sent: list[Item] = []
 
     def send(self, item: Item) -> None:
-        """Keep an item."""
+        """Record a message."""
         self.sent.append(item)
 
     def send_document(self, make: DocumentFactory) -> None:
-        """Keep a document."""
+        """Record a document if there is one to send."""
         item = make()
         if item is not None:
             self.sent.append(item)
@@ -47,5 +47,5 @@
 
 
 def make_links(*links: FakeLink) -> FleetLinks:
-    """Return an instance's links."""
+    """Return the links of an instance."""
     return cast(FleetLinks, FakeLinks(*links))
--- a/tests/router/test_background_tasks.py
+++ b/tests/router/test_background_tasks.py
@@ -1,4 +1,4 @@
-"""Tests of the tasks of an instance."""
+"""Tests of the background tasks of an instance."""
 
 from __future__ import annotations
 
@@ -7,39 +7,39 @@
 from swiftpin.router.background_tasks import BackgroundTasks
 
 
-async def test_task_that_breaks_is_told() -> None:
-    """Symptom: an instance looked well and followed no changes.
+async def test_failed_task_is_reported() -> None:
+    """Guards against an instance that looks healthy although one of its tasks failed.
 
-    Sequence: a task raised; nobody awaited it. Cause: its error was kept until the end.
+    Nobody awaits the task, so its exception would stay unnoticed until the shutdown.
     """
     failed = asyncio.Event()
     tasks = BackgroundTasks(on_failed=failed.set)
 
-    async def async_break() -> None:
+    async def async_fail() -> None:
         raise RuntimeError("broken")
 
-    tasks.start(async_break())
+    tasks.start(async_fail())
     async with asyncio.timeout(5.0):
         await failed.wait()
     await tasks.async_unload()
 
 
-async def test_unload_ends_tasks_without_a_failure() -> None:
-    """A planned end is no failure."""
+async def test_unload_cancels_tasks_without_reporting_a_failure() -> None:
+    """Cancelling a task on shutdown does not count as a failure."""
     failed = asyncio.Event()
     tasks = BackgroundTasks(on_failed=failed.set)
     ended = asyncio.Event()
-    begun = asyncio.Event()
+    started = asyncio.Event()
 
-    async def async_go_on() -> None:
-        begun.set()
+    async def async_run_forever() -> None:
+        started.set()
         try:
             await asyncio.Event().wait()
         finally:
             ended.set()
 
-    tasks.start(async_go_on())
-    await begun.wait()
+    tasks.start(async_run_forever())
+    await started.wait()
     await tasks.async_unload()
     assert ended.is_set()
     assert not failed.is_set()
--- a/tests/router/test_configuration_holder.py
+++ b/tests/router/test_configuration_holder.py
@@ -1,4 +1,4 @@
-"""Tests of the configuration in force."""
+"""Tests of the active configuration."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def adopt(holder: ConfigurationHolder, document: object) -> None:
-    """Let a holder take a configuration from the store."""
+    """Pass a configuration read from the store to a holder."""
     changed = PlatformObject(
         name="main",
         revision=1,
@@ -26,23 +26,23 @@
     holder.adopt_changes((changed,), 1, 0.0)
 
 
-async def test_long_configuration_lets_others_run(
+async def test_decoding_a_large_configuration_yields_to_the_event_loop(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against heartbeats that wait while 2,000 routes are decoded."""
+    """Guards against heartbeats delayed by the decoding of 2,000 routes."""
     now = iter(range(1_000_000))
     monkeypatch.setattr(time_slices, "monotonic_now", lambda: next(now) / 100_000)
     holder = ConfigurationHolder()
     adopt(holder, large_configuration(3, 2_000))
-    turns = 0
+    iterations = 0
     while holder.version != 3:
         await asyncio.sleep(0)
-        turns += 1
-    assert turns >= 5
+        iterations += 1
+    assert iterations >= 5
 
 
 async def test_newer_version_stays_while_an_older_one_is_decoded() -> None:
-    """Guards against a long older configuration that replaces a short newer one."""
+    """Guards against a large old configuration that replaces a small newer one."""
     holder = ConfigurationHolder()
     adopt(holder, large_configuration(3, 5_000))
     adopt(holder, configuration(4, ROUTES))
@@ -51,8 +51,8 @@
     assert holder.version == 4
 
 
-def test_what_neighbours_get_is_what_was_read() -> None:
-    """An instance passes on what the store holds."""
+def test_neighbours_receive_the_configuration_that_was_read() -> None:
+    """An instance forwards the configuration exactly as the store holds it."""
     holder, neighbour = ConfigurationHolder(), ConfigurationHolder()
     adopt(holder, configuration(4, ROUTES))
     neighbour.adopt_packed(holder.packed, 0.0)
@@ -61,11 +61,12 @@
 
 
 @pytest.mark.parametrize("packed", [b"", b"x", zlib.compress(b"[]")])
-def test_unreadable_configuration_ends_the_question(
+def test_unreadable_configuration_completes_the_request(
     packed: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against an instance that asks nobody any more."""
-    # A busy machine must not end the only slice that the decoding gets here.
+    """Guards against an instance that sends no further requests to neighbours."""
+    # Without an event loop there is only one time slice; a stopped clock keeps a busy
+    # machine from exceeding it.
     monkeypatch.setattr(time_slices, "monotonic_now", lambda: 0.0)
     done: list[bool] = []
     holder = ConfigurationHolder()
--- a/tests/router/test_evacuated_zones.py
+++ b/tests/router/test_evacuated_zones.py
@@ -1,4 +1,4 @@
-"""Tests of whole instances while a zone is evacuated and taken back."""
+"""Integration tests of the evacuation and return of an availability zone."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture(name="two_zones")
 async def two_zones_fixture(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[Site]:
-    """Return a running site whose targets stand in two zones."""
+    """Return a running site whose targets are in two zones."""
     site = Site(monkeypatch)
     try:
         await site.async_setup(targets=2)
@@ -30,19 +30,19 @@
 
 
 def owner_of(site: Site, key: int) -> str:
-    """Return the target that holds a key, empty when none does."""
+    """Return the target that holds a key, empty if none does."""
     names = [name for name, target in site.targets_by_name.items() if target.holds(key)]
     assert len(names) <= 1
     return names[0] if names else ""
 
 
-def runs_in_zone(site: Site) -> int:
-    """Return how many requests the evacuated zone's targets ran."""
+def executions_in_zone(site: Site) -> int:
+    """Return how many requests the targets of the evacuated zone executed."""
     return sum(len(site.targets_by_name[name].runs) for name in ("e0", "e1", "f0"))
 
 
-async def async_ask_on(site: Site, stop: asyncio.Event) -> list[int]:
-    """Ask for all sampled keys in turn until told to stop; return the statuses."""
+async def async_request_keys(site: Site, stop: asyncio.Event) -> list[int]:
+    """Request the sampled keys in turn until stopped; return all statuses."""
     statuses = []
     while not stop.is_set():
         for key in SAMPLE[::6]:
@@ -50,13 +50,13 @@
     return statuses
 
 
-async def test_keys_leave_an_evacuated_zone_and_are_served_all_the_while(
+async def test_keys_leave_an_evacuated_zone_without_failed_requests(
     two_zones: Site,
 ) -> None:
-    """Guards against requests to an evacuated zone, and a gap while it empties."""
+    """Guards against requests to an evacuated zone and failures during the moves."""
     site = two_zones
     stop = asyncio.Event()
-    asking = asyncio.create_task(async_ask_on(site, stop))
+    request_task = asyncio.create_task(async_request_keys(site, stop))
     site.store.put("evacuations", ZONE, {})
     assert BOUNDS.evacuation_limit is not None
     try:
@@ -65,20 +65,20 @@
                 await asyncio.sleep(0.01)
     finally:
         stop.set()
-        statuses = await asking
+        statuses = await request_task
     assert set(statuses) == {200}
-    before = runs_in_zone(site)
+    before = executions_in_zone(site)
     for key in SAMPLE:
         assert (await site.async_call("/read/x", key=key)).status == 200
     for _ in range(10):
         assert (await site.async_call("/files/x", key=None)).status == 200
-    assert runs_in_zone(site) == before
+    assert executions_in_zone(site) == before
 
 
-async def test_zone_that_is_taken_back_gets_what_cold_targets_bear(
+async def test_returning_zone_gets_no_more_than_the_cold_limit(
     two_zones: Site,
 ) -> None:
-    """Guards against a crowd at targets that are cold after an evacuation."""
+    """Guards against a burst of requests to cold targets after an evacuation."""
     site = two_zones
     site.store.put("evacuations", ZONE, {})
     await site.async_wait(lambda: not any(owner_of(site, k) == "e0" for k in SAMPLE))
--- a/tests/router/test_extension_votes.py
+++ b/tests/router/test_extension_votes.py
@@ -1,4 +1,4 @@
-"""Tests of votes."""
+"""Tests of votes that extend the lease."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 
 class FakeLease(SimpleNamespace):
-    """Notes votes; its probe is answered at once when the store answers."""
+    """Fake lease; a probe succeeds immediately if the store answers."""
 
     async def async_probe(self) -> None:
-        """Ask the store."""
+        """Count the probe and record an answer of the store, if it answers."""
         self.probes += 1
         if self.answers:
             self.health.note_answer(self.clock)
 
 
 def make_link(name: str, **heartbeat: object) -> PeerLink:
-    """Return a link whose other side gave a heartbeat."""
+    """Return a link whose peer has sent a heartbeat."""
     link = PeerLink(cast(LinkHandler, None), 0.0, is_outgoing=True)
     link.incarnation = f"{name}/1"
     link.heartbeat = pb.Heartbeat(**heartbeat)
@@ -34,7 +34,7 @@
 
 
 def make_votes(lease: FakeLease) -> ExtensionVotes:
-    """Return the votes of a member."""
+    """Return the vote handling of a member."""
     return ExtensionVotes(
         links=cast(FleetLinks, None),
         lease=cast(LeaseElection, lease),
@@ -42,47 +42,45 @@
     )
 
 
-async def _async_beats(*, answers: bool) -> tuple[FakeLease, list[bool]]:
-    """Return what is voted at heartbeats to the holder, others between them."""
+async def _async_exchange_heartbeats(*, answers: bool) -> tuple[FakeLease, list[bool]]:
+    """Return the votes in heartbeats to the holder, alternating with another peer."""
     lease = FakeLease(
         probes=0, answers=answers, health=StoreHealth(), clock=0.0, own_vote_until=0.0
     )
     votes = make_votes(lease)
     holder = make_link("holder", leads=True, store_lost=True)
     other = make_link("other")
-    given = []
+    cast_votes = []
     for number in range(8):
         lease.clock = number * 0.3
-        given.append(votes.cast_vote(holder, lease.clock))
+        cast_votes.append(votes.cast_vote(holder, lease.clock))
         assert not votes.cast_vote(other, lease.clock)
         if votes._probe is not None:
             await votes._probe
-    return lease, given
+    return lease, cast_votes
 
 
-async def test_member_that_the_store_answers_votes_no_more() -> None:
-    """Symptom: a holder that the store turned away kept the lease for ten seconds.
+async def test_member_that_reaches_the_store_stops_voting() -> None:
+    """Guards against a holder that keeps the lease 10 s after only it lost the store.
 
-    Sequence: it said that it lost the store; a member that the store answers voted at
-    every heartbeat. Cause: heartbeats to other instances, which do not lead, made
-    the loss look new each time.
+    Heartbeats to other instances, which are not the holder, reset the time of the loss.
+    A member that reached the store then voted again in every heartbeat.
     """
-    lease, given = await _async_beats(answers=True)
-    assert not any(given[1:])
+    lease, cast_votes = await _async_exchange_heartbeats(answers=True)
+    assert not any(cast_votes[1:])
     assert lease.probes == 1
 
 
-async def test_member_that_the_store_turns_away_goes_on_voting() -> None:
-    """While the store answers neither, the holder stays."""
-    _, given = await _async_beats(answers=False)
-    assert all(given)
+async def test_member_that_has_lost_the_store_keeps_voting() -> None:
+    """The holder keeps the lease while the store answers neither instance."""
+    _, cast_votes = await _async_exchange_heartbeats(answers=False)
+    assert all(cast_votes)
 
 
-async def test_begin_and_end_of_votes_have_a_line_each() -> None:
-    """Symptom: that members had voted again and again was inferred from the code.
+async def test_begin_and_end_of_votes_are_logged() -> None:
+    """Guards against votes that leave no trace in the log.
 
-    Sequence: a holder lost the store, found it again and no line told who had voted
-    for it and until when. Cause: votes travel in heartbeats, which have no lines.
+    Votes are sent in heartbeats, which are not logged.
     """
     messages: list[dict[str, object]] = []
     add_destinations(messages.append)
--- a/tests/router/test_gossip.py
+++ b/tests/router/test_gossip.py
@@ -1,4 +1,4 @@
-"""Tests of updates between neighbours."""
+"""Tests of the exchange of documents between neighbours."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def make_link(name: str, targets: int) -> PeerLink:
-    """Return a link to an instance that knows a version of the targets."""
+    """Return a link to an instance that announces a version of the targets."""
     now = asyncio.get_running_loop().time()
     link = PeerLink(cast(LinkHandler, None), now, is_outgoing=True)
     link.incarnation = name
@@ -31,13 +31,13 @@
 
 @pytest.fixture(name="directory")
 def directory_fixture() -> SimpleNamespace:
-    """Return a directory of which only the version matters."""
+    """Return a fake directory with a version."""
     return SimpleNamespace(version=10, evacuations=Evacuations(None))
 
 
 @pytest.fixture(name="links")
 def links_fixture() -> SimpleNamespace:
-    """Return links, none yet."""
+    """Return the links of an instance, initially none."""
     return SimpleNamespace(outgoing_by_peer={}, live_links=list)
 
 
@@ -63,7 +63,7 @@
 
 @pytest.fixture(name="asked")
 def asked_fixture(monkeypatch: pytest.MonkeyPatch) -> list[str]:
-    """Return a list to which each neighbour that is asked is added."""
+    """Return a list that records the neighbour of each request."""
     asked: list[str] = []
 
     def send(link: PeerLink, item: object) -> None:
@@ -73,55 +73,53 @@
     return asked
 
 
-def ask_again(gossip: Gossip) -> None:
-    """Let a gossip that is behind ask now, though nobody answers."""
+def request_again(gossip: Gossip) -> None:
+    """Make an instance that is behind send its next request without an answer."""
     gossip._targets_requester._behind_since = -1.0
     gossip._targets_requester._requested_at -= ANSWER_TIMEOUT
     gossip.request_updates()
 
 
-async def test_frozen_neighbour_does_not_keep_others_from_being_asked(
+async def test_frozen_neighbour_is_not_asked_again(
     gossip: Gossip, links: SimpleNamespace, asked: list[str]
 ) -> None:
-    """Symptom: an instance learnt of a removal more than a second late.
+    """Guards against a removal that is learnt more than a second late.
 
-    Sequence: its watch stood still; the first neighbour that knew more froze, and was
-    asked again and again until its link counted as lost. Cause: whoever came first
-    among the links was asked.
+    The first neighbour with a newer version was asked repeatedly. When it froze it was
+    asked until its link counted as lost.
     """
-    frozen, heard = make_link("frozen", 12), make_link("heard", 12)
+    frozen, responsive = make_link("frozen", 12), make_link("heard", 12)
     frozen.last_received_at -= 1.0
-    links.live_links = lambda: [frozen, heard]
-    ask_again(gossip)
-    ask_again(gossip)
+    links.live_links = lambda: [frozen, responsive]
+    request_again(gossip)
+    request_again(gossip)
     assert asked == ["heard", "heard"]
 
 
-async def test_neighbours_that_know_more_are_asked_in_turn(
+async def test_neighbours_with_a_newer_version_are_asked_in_turn(
     gossip: Gossip, links: SimpleNamespace, asked: list[str]
 ) -> None:
-    """One that does not answer costs one question."""
+    """A neighbour that does not answer costs only one request."""
     links.live_links = lambda: [make_link("a", 12), make_link("b", 12)]
     for _ in range(3):
-        ask_again(gossip)
+        request_again(gossip)
     assert asked == ["a", "b", "a"]
 
 
 def make_holder(targets: int) -> PeerLink:
-    """Return a link to the holder of the lease."""
+    """Return a link to the lease holder."""
     link = make_link("holder", targets)
     assert link.heartbeat is not None
     link.heartbeat.leads = True
     return link
 
 
-async def test_only_a_holder_that_hears_the_store_confirms(
+async def test_only_a_holder_that_reaches_the_store_confirms(
     gossip: Gossip, links: SimpleNamespace, directory: SimpleNamespace
 ) -> None:
-    """Symptom: a silent watch was relied on.
+    """Guards against trust in a silent watch while the holder has lost the store.
 
-    Sequence: the holder of the lease was heard, and had lost the store itself.
-    Cause: any heartbeat counted as word of the store.
+    Any heartbeat of the lease holder counted as a confirmation.
     """
     confirmed: list[float] = []
     directory.note_confirmed = confirmed.append
@@ -143,11 +141,11 @@
 async def test_holder_confirms_nothing_until_it_has_caught_up(
     gossip: Gossip, links: SimpleNamespace, directory: SimpleNamespace
 ) -> None:
-    """Symptom: live targets were taken for gone right after an outage of the store.
+    """Guards against live targets treated as gone right after a store outage.
 
-    Sequence: entries were missed before the outage and back in it; at its end the
-    holder's lease was answered, its watch not yet; both knew the same old version.
-    Cause: the holder's word that it hears the store confirmed that version.
+    Entries were missing before the outage and restored during it. At its end the
+    holder's lease was renewed before its watch was answered, so the holder confirmed an
+    outdated version.
     """
     directory.note_confirmed = lambda at: pytest.fail("nothing is confirmed yet")
     holder = make_holder(10)
@@ -163,10 +161,10 @@
 async def test_members_do_not_confirm_each_other(
     gossip: Gossip, links: SimpleNamespace, directory: SimpleNamespace
 ) -> None:
-    """Symptom: no instance learnt of a removal for 15 s.
+    """Guards against a removal that no instance learns for 15 s.
 
-    Sequence: the answers to all watches were lost at once; each instance heard others
-    that knew nothing newer. Cause: their watches were silent as well.
+    The answers to all watches were lost at the same time, and the instances confirmed
+    each other's outdated version.
     """
     directory.note_confirmed = pytest.fail
     links.live_links = lambda: [make_link("a", 10), make_link("b", 10)]
@@ -174,19 +172,19 @@
     assert not gossip.holder_view.is_confirmed()
 
 
-async def test_holder_that_knows_more_does_not_confirm(
+async def test_holder_with_a_newer_version_does_not_confirm(
     gossip: Gossip, links: SimpleNamespace, directory: SimpleNamespace
 ) -> None:
-    """What it knows beyond this instance may be a target that left."""
+    """The newer version may contain a target that has left."""
     directory.note_confirmed = pytest.fail
     links.live_links = lambda: [make_holder(12)]
     gossip.request_updates()
 
 
-async def test_each_loss_and_return_at_a_neighbour_is_counted(
+async def test_store_losses_and_recoveries_of_neighbours_are_counted(
     gossip: Gossip, links: SimpleNamespace, directory: SimpleNamespace
 ) -> None:
-    """Watches from before it are made anew."""
+    """Watches opened before such an event are opened again."""
     directory.note_confirmed = lambda at: None
     link = make_link("a", 10)
     assert link.heartbeat is not None
@@ -199,10 +197,10 @@
     assert counts == [0, 1, 1, 2]
 
 
-async def test_key_maps_are_asked_for_once_after_a_start(
+async def test_key_maps_are_requested_once_after_a_start(
     gossip: Gossip, links: SimpleNamespace, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a copy of all key maps from each neighbour of a new instance."""
+    """Guards against a new instance that receives all key maps from each neighbour."""
     asked: list[str | None] = []
     monkeypatch.setattr(
         PeerLink, "send", lambda link, item: asked.append(item.WhichOneof("body"))
@@ -221,10 +219,10 @@
     ("is_lost", "told", "has_source"),
     [(False, 0, True), (True, 7, True), (True, 0, False)],
 )
-async def test_missing_configuration_needs_someone_who_has_it(
+async def test_missing_configuration_needs_a_source(
     gossip: Gossip, links: SimpleNamespace, is_lost: bool, told: int, has_source: bool
 ) -> None:
-    """Guards against a fleet that waits for what only a lost instance had."""
+    """Guards against waiting for a configuration that only a lost instance had."""
     link = make_link("a", targets=10)
     assert link.heartbeat is not None
     link.heartbeat.configuration = told
@@ -235,23 +233,22 @@
     assert gossip._configuration.lag.has_source is has_source
 
 
-async def test_update_that_cannot_be_read_changes_nothing(
+async def test_unreadable_update_is_ignored(
     gossip: Gossip, directory: SimpleNamespace
 ) -> None:
-    """Symptom: the link to a neighbour ended with an error.
+    """Guards against a link that is closed by a decoding error.
 
-    Sequence: an instance of another version told targets in a shape that this one does
-    not know. Cause: nothing caught the error.
+    An instance of another software version can send targets in an unknown format.
     """
     directory.adopt_update = pytest.fail
     gossip.handle_targets(pb.Update(targets=b'[{"name": 3}]', targets_revision=12))
 
 
 @pytest.mark.parametrize(("told", "answers"), [(9, 1), (10, 0)])
-def test_neighbour_that_caught_up_meanwhile_gets_no_list(
+def test_neighbour_that_caught_up_gets_no_target_list(
     gossip: Gossip, directory: SimpleNamespace, told: int, answers: int
 ) -> None:
-    """Guards against a list for each question that was asked twice."""
+    """Guards against a second list in answer to a repeated request."""
     directory.present_targets = list
     directory.targets_since = lambda revision, now: []
     link = FakeLink("a", targets=told)
@@ -260,10 +257,10 @@
 
 
 @pytest.mark.parametrize(("told", "answers"), [(4, 1), (5, 0)])
-def test_neighbour_that_caught_up_meanwhile_gets_no_configuration(
+def test_neighbour_that_caught_up_gets_no_configuration(
     gossip: Gossip, told: int, answers: int
 ) -> None:
-    """Guards against a configuration for each question that was asked twice."""
+    """Guards against a second configuration in answer to a repeated request."""
     known = SimpleNamespace(version=5, packed=b"x")
     gossip._configuration = cast(ConfigurationHolder, known)
     link = FakeLink("a", configuration=told)
--- a/tests/router/test_heartbeats.py
+++ b/tests/router/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""Tests of what heartbeats carry."""
+"""Tests of the content of heartbeats."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Member:
-    """Heartbeats of an instance, and what it believes."""
+    """Heartbeats of an instance and the fake state behind them."""
 
     def __init__(self) -> None:
         self.lease = SimpleNamespace(
@@ -60,16 +60,16 @@
         )
 
 
-def test_heartbeat_tells_leader_versions_and_the_echo() -> None:
-    """The echo lets the other side count a vote from when it asked for it."""
+def test_heartbeat_contains_leader_versions_and_echo() -> None:
+    """The echo lets the receiver count a vote from the time of its own request."""
     member = Member()
     heartbeat = member.heartbeats.make(FakeLink("b", sent_at=3.5), NOW).heartbeat
     assert (heartbeat.leader, heartbeat.term, heartbeat.targets) == ("a/1", 4, 7)
     assert (heartbeat.sent_at, heartbeat.echo, heartbeat.vote) == (NOW, 3.5, True)
 
 
-def test_heartbeat_brings_votes_resignations_and_newer_leaders() -> None:
-    """Votes count from their echo; terms only grow."""
+def test_received_heartbeat_updates_votes_resignations_and_leader() -> None:
+    """Votes count from their echo, and terms never decrease."""
     member = Member()
     link = FakeLink("b")
     heartbeat = pb.Heartbeat(
@@ -82,14 +82,14 @@
     assert member.leader.record.holder == "c/1"
 
 
-def test_heartbeat_brings_evacuations_that_are_newer() -> None:
-    """Guards against a zone that stays in use where the store is not heard."""
-    teller, learner = Member(), Member()
+def test_received_heartbeat_updates_evacuations() -> None:
+    """Guards against an evacuated zone that stays in use where the store is lost."""
+    sender, receiver = Member(), Member()
     zone = PlatformObject(name="z1", revision=5, is_deleted=False, document={})
-    teller.evacuations.adopt_changes((zone,), 5, NOW - 2.0)
-    heartbeat = teller.heartbeats.make(FakeLink("b"), NOW).heartbeat
-    learner.heartbeats.handle(FakeLink("a"), heartbeat)
-    assert learner.evacuations.is_evacuated("z1")
-    assert learner.evacuations.version == 5
+    sender.evacuations.adopt_changes((zone,), 5, NOW - 2.0)
+    heartbeat = sender.heartbeats.make(FakeLink("b"), NOW).heartbeat
+    receiver.heartbeats.handle(FakeLink("a"), heartbeat)
+    assert receiver.evacuations.is_evacuated("z1")
+    assert receiver.evacuations.version == 5
     (age,) = heartbeat.evacuated_for
     assert age == pytest.approx(2.0)
--- a/tests/router/test_issuer_list.py
+++ b/tests/router/test_issuer_list.py
@@ -1,4 +1,4 @@
-"""Tests of the list of issuers."""
+"""Tests of the list of permit issuers."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Chooser:
-    """The list at an instance that holds the lease, and what it works with."""
+    """The issuer list of a lease holder and the fakes it depends on."""
 
     def __init__(self, *links: FakeLink, targets: int = 0) -> None:
         self.lease = SimpleNamespace(term=TERM, members=())
@@ -32,7 +32,7 @@
         self.list = IssuerList(
             incarnation="own/1",
             own_peer="own:1",
-            strength=1.0,
+            cpu_capacity=1.0,
             links=make_links(*links),
             lease=cast(LeaseElection, self.lease),
             permits=cast(PermitBroker, self.permits),
@@ -45,12 +45,12 @@
 
     @property
     def chosen(self) -> set[str]:
-        """Return the issuers."""
+        """Return the selected issuers."""
         return set(self.permits.issuers.peers_by_incarnation)
 
 
-def test_list_goes_to_everyone_once() -> None:
-    """A list that has not changed is not told again."""
+def test_unchanged_list_is_published_once() -> None:
+    """All members receive a new list; an unchanged list is not sent again."""
     link = FakeLink("a")
     chooser = Chooser(link)
     chooser.list.update(NOW)
@@ -61,8 +61,8 @@
     assert set(chooser.lease.members) == {"own", "a"}
 
 
-def test_instances_that_leave_issue_nothing() -> None:
-    """An issuer that ends takes the permits of its targets with it."""
+def test_stopping_instances_are_not_issuers() -> None:
+    """When an issuer stops, the permits of its targets are lost."""
     chooser = Chooser(FakeLink("a"), FakeLink("b", stopping=True))
     chooser.list.update(NOW)
     assert chooser.chosen == {"own/1", "a/1"}
@@ -71,29 +71,29 @@
     assert chooser.chosen == {"a/1"}
 
 
-def test_instances_that_leave_are_counted() -> None:
-    """Failure: the shares of instances that ended, and still sent, were given away."""
+def test_stopping_instances_are_counted() -> None:
+    """Guards against reuse of the shares of stopping instances that still send."""
     chooser = Chooser(FakeLink("a"), FakeLink("b", stopping=True))
     chooser.lifecycle.leaving = True
     chooser.list.update(NOW)
     assert chooser.permits.issuers.members == 3
 
 
-def test_instances_that_are_cut_off_are_counted_for_a_while() -> None:
-    """Failure: the share of one that was cut off, and still sent, was given away."""
+def test_disconnected_instances_are_counted_for_a_while() -> None:
+    """Guards against reuse of the share of a disconnected instance that still sends."""
     links = [FakeLink(f"m-{number}") for number in range(7)]
     chooser = Chooser(*links)
     chooser.list.update(NOW)
-    told = chooser.permits.issuers.members
+    announced = chooser.permits.issuers.members
     chooser.list._links = make_links()
     chooser.list.update(NOW + MAX_HOLDER_SILENCE)
-    assert chooser.permits.issuers.members == told
+    assert chooser.permits.issuers.members == announced
     chooser.list.update(NOW + MAX_HOLDER_SILENCE + 0.1)
     assert chooser.permits.issuers.members == 1
 
 
 def test_every_member_is_counted() -> None:
-    """Failure: one member more in eight was told to nobody."""
+    """Guards against an added member that is missing from the announced count."""
     links = [FakeLink(f"m-{number}") for number in range(7)]
     chooser = Chooser(*links)
     chooser.list.update(NOW)
@@ -104,8 +104,8 @@
         assert chooser.permits.issuers.members > len(links)
 
 
-def test_list_of_a_new_term_is_told_even_if_it_is_the_same() -> None:
-    """Members keep to the list of the newest term only."""
+def test_unchanged_list_is_published_again_in_a_new_term() -> None:
+    """Members use only the list of the newest term."""
     link = FakeLink("a")
     chooser = Chooser(link)
     chooser.list.update(NOW)
@@ -114,8 +114,8 @@
     assert [item.issuers.term for item in link.sent] == [TERM, TERM + 1]
 
 
-def test_older_list_is_not_taken() -> None:
-    """A list that was overtaken on its way changes nothing."""
+def test_older_list_is_not_adopted() -> None:
+    """A list that arrives after a newer one is ignored."""
     chooser = Chooser()
     for number, name in ((2, "new/1"), (1, "old/1")):
         chooser.list.adopt(
@@ -127,7 +127,7 @@
 
 
 def test_issuers_that_lost_the_store_do_not_watch_it() -> None:
-    """A whole fleet called a store that had turned its few watchers away."""
+    """Guards against a fleet that watches by itself because its watchers cannot."""
     names = [f"strong-{number}" for number in range(CONFIGURATION_WATCHERS + 1)]
     links = [FakeLink(name) for name in names]
     for link in links:
--- a/tests/router/test_key_map_sharing.py
+++ b/tests/router/test_key_map_sharing.py
@@ -1,4 +1,4 @@
-"""Tests of key maps on their way between instances."""
+"""Tests of the distribution of key maps between instances."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 
 
 def make_map(number: int, term: int = 1) -> KeyMap:
-    """Return a map with one owner."""
+    """Return a key map with one owner."""
     return KeyMap(
         service=SERVICE, term=term, number=number, firsts=(0,), owners=("t1",)
     )
 
 
 def make_sharing(maps: KeyMaps, *links: FakeLink) -> KeyMapSharing:
-    """Return the sharing of an instance that misses nothing."""
+    """Return the sharing of an instance that must not request any map."""
     return KeyMapSharing(make_links(*links), maps, lambda link: pytest.fail("asks"))
 
 
 @pytest.fixture(name="maps")
 def maps_fixture() -> KeyMaps:
-    """Return maps, of which one is known."""
+    """Return key maps that contain one map."""
     maps = KeyMaps()
     maps.adopt(make_map(1))
     return maps
 
 
-def test_next_map_goes_out_as_a_change(maps: KeyMaps) -> None:
-    """Only a map that does not follow the last one goes out whole."""
+def test_successive_map_is_published_as_a_change(maps: KeyMaps) -> None:
+    """A complete map is sent only if it does not follow the previous one."""
     link = FakeLink("a")
     sharing = make_sharing(maps, link)
     change = OwnerChange(first=5, last=9, owner="t2")
@@ -47,8 +47,8 @@
     assert list(link.sent[0].key_map_change.owners) == ["t2"]
 
 
-def test_change_of_the_known_map_is_taken(maps: KeyMaps) -> None:
-    """What one instance hands out as a change, another puts in force."""
+def test_change_of_the_known_map_is_applied(maps: KeyMaps) -> None:
+    """An instance applies the change that another one publishes."""
     link = FakeLink("a")
     sender = KeyMaps()
     sender.adopt(make_map(1))
@@ -65,13 +65,12 @@
 
 
 @pytest.mark.parametrize(("number", "asks"), [(3, 1), (1, 0), (0, 0)])
-def test_whole_map_is_asked_for_after_a_gap_only(
+def test_complete_map_is_requested_only_after_a_gap(
     maps: KeyMaps, number: int, asks: int
 ) -> None:
-    """Symptom: an instance went on with an old map.
+    """Guards against an instance that keeps an old map after a missed change.
 
-    Sequence: it missed a change and took the one after it, or none. Cause: a change
-    is of use only on the map before it.
+    A change applies only to the map directly before it.
     """
     source = FakeLink("a")
     sender = KeyMaps()
--- a/tests/router/test_known_leader.py
+++ b/tests/router/test_known_leader.py
@@ -1,4 +1,4 @@
-"""Tests of what an instance knows of the lease's holder."""
+"""Tests of the lease holder as known to an instance."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
 
 def make_record(holder: str, term: int, renewal: int = 0) -> LeaseRecord:
-    """Return a record of the lease."""
+    """Return a lease record."""
     return LeaseRecord(holder=holder, peer=f"{holder}:1", term=term, renewal=renewal)
 
 
 @pytest.mark.parametrize(
     ("term", "renewal", "holder"), [(3, 1, "new"), (2, 7, "new"), (2, 6, "old")]
 )
-def test_older_record_changes_nothing(term: int, renewal: int, holder: str) -> None:
-    """A read that was long on its way must not bring a former holder back."""
+def test_older_record_is_ignored(term: int, renewal: int, holder: str) -> None:
+    """A delayed read must not restore a former holder."""
     leader = KnownLeader(make_links())
     leader.adopt_record(make_record("old", 2, 7))
     leader.adopt_record(make_record("new", term, renewal))
     assert leader.record.holder == holder
 
 
-def test_heartbeats_tell_of_newer_terms_only() -> None:
-    """What others say counts only where it is newer than what was read."""
+def test_only_heartbeats_of_newer_terms_are_adopted() -> None:
+    """A heartbeat counts only if its term is newer than the record read."""
     leader = KnownLeader(make_links())
     leader.adopt_record(make_record("a", 2, 7))
     leader.adopt_heartbeat(pb.Heartbeat(term=2, leader="b", leader_peer="b:1"))
@@ -36,8 +36,8 @@
     assert (leader.record.holder, leader.record.peer) == ("b", "b:1")
 
 
-def test_holder_is_heard_for_a_while_and_only_if_it_leads() -> None:
-    """Candidates look at the lease once its holder has been silent."""
+def test_holder_is_alive_until_the_heartbeat_timeout() -> None:
+    """Candidates read the lease once the heartbeats of its holder have stopped."""
     leader = KnownLeader(make_links(FakeLink("a", leads=True, term=2)))
     assert leader.is_holder_alive(2, LEADER_HEARTBEAT_TIMEOUT - 0.01)
     assert not leader.is_holder_alive(2, LEADER_HEARTBEAT_TIMEOUT)
@@ -46,8 +46,11 @@
     assert not KnownLeader(make_links()).is_holder_alive(0, 0.0)
 
 
-def test_holder_of_a_later_term_counts_as_heard() -> None:
-    """Who could not read the new record looked at it four times a second."""
+def test_holder_of_a_later_term_counts_as_alive() -> None:
+    """Guards against candidates that read the lease four times per second.
+
+    This happened to those that had not yet read the record of the new term.
+    """
     leader = KnownLeader(make_links(FakeLink("a", leads=True, term=3)))
     assert leader.is_holder_alive(2, 0.0)
     assert leader.is_holder_alive(3, 0.0)
--- a/tests/router/test_large_configurations.py
+++ b/tests/router/test_large_configurations.py
@@ -1,4 +1,4 @@
-"""Tests of large configurations on their way to instances behind thin links."""
+"""Tests of the distribution of large configurations over slow links."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 ROUTES: Final = 2_000
 VERSIONS: Final = 5
 PAUSE: Final = 0.6
-THIN_LINK: Final = 5e6 / 8
-"""Bytes a second of a link of 5 Mbit/s."""
+SLOW_LINK: Final = 5e6 / 8
+"""Bytes per second of a link of 5 Mbit/s."""
 
 APPLY_LIMIT: Final = 1.5
 DELAY_LIMIT: Final = 0.1
 
 
 def spread_versions(count: int) -> Outcome:
-    """Return what large configurations in quick succession do to a fleet."""
+    """Return the outcome of large configurations published in quick succession."""
     documents = [large_configuration(1 + v, ROUTES) for v in range(count)]
     return run_in_virtual_time(
         async_spread(
             documents,
             members=24,
             watchers=4,
-            bandwidth=THIN_LINK,
-            watcher_bandwidth=THIN_LINK * 40,
+            bandwidth=SLOW_LINK,
+            watcher_bandwidth=SLOW_LINK * 40,
             pause=PAUSE,
             settle=4.0,
         )
@@ -38,27 +38,27 @@
 
 @pytest.fixture(name="spread", scope="module")
 def spread_fixture() -> Outcome:
-    """Return what a series of configurations did."""
+    """Return the outcome of a series of configurations."""
     return spread_versions(VERSIONS)
 
 
-def test_large_configuration_is_in_force_in_time(spread: Outcome) -> None:
-    """Guards against instances that fall ever further behind successive versions."""
+def test_large_configuration_becomes_active_in_time(spread: Outcome) -> None:
+    """Guards against instances that fall further behind with each version."""
     waits = [spread.longest_wait(version) for version in range(1, VERSIONS + 1)]
     assert max(waits) < APPLY_LIMIT
 
 
 def test_heartbeats_do_not_wait_behind_documents(spread: Outcome) -> None:
-    """Guards against links that count as lost while a document is on its way."""
-    everyone = [*spread.members, *spread.watchers]
-    assert max(max(m.heartbeat_delays) for m in everyone) < DELAY_LIMIT
+    """Guards against links that count as lost while a document is sent."""
+    instances = [*spread.members, *spread.watchers]
+    assert max(max(m.heartbeat_delays) for m in instances) < DELAY_LIMIT
     assert spread.links_lost == 0
 
 
 @pytest.mark.parametrize("versions", [1, VERSIONS])
 def test_configuration_is_sent_once_to_each_instance(versions: int) -> None:
-    """Guards against a document that is asked for again while it is on its way."""
+    """Guards against a document that is requested again while it is sent."""
     spread = spread_versions(versions)
     size = len(orjson.dumps(large_configuration(1, ROUTES)))
-    most = max(member.incoming.bytes_from_peers for member in spread.members)
-    assert most < 2 * size * versions
+    max_bytes = max(member.incoming.bytes_from_peers for member in spread.members)
+    assert max_bytes < 2 * size * versions
--- a/tests/router/test_leader.py
+++ b/tests/router/test_leader.py
@@ -1,4 +1,4 @@
-"""Tests of the duties of the instance that holds the lease."""
+"""Tests of the duties of the lease holder."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from swiftpin.router.leader import Leader
 
 
-async def test_next_term_is_asked_for_when_fences_are_scarce() -> None:
-    """Symptom: no target took what a successor granted.
+async def test_next_term_is_requested_when_fences_run_low() -> None:
+    """Guards against fences of the next term that are used in the current one.
 
-    Sequence: a holder's connections broke at each call, and each grant took a fence,
-    until they reached those of the next term. Cause: nobody began that term in time.
+    Each failed grant takes a fence. When they reached the next term's fences, the
+    targets refused the grants of a successor.
     """
     lease = SimpleNamespace(term=3, wants_next_term=False)
     service = SimpleNamespace(name="desk", is_keyed=True)
@@ -52,11 +52,11 @@
     leader._stop_assigners()
 
 
-async def test_instance_that_has_just_started_may_lead_at_once() -> None:
-    """Symptom: no key had an owner for two seconds after all instances had restarted.
+async def test_newly_started_instance_may_lead_at_once() -> None:
+    """Guards against keys without an owner for two seconds after a restart of all.
 
-    Sequence: all instances ended and started; the grants of before ended while the
-    first list of targets was not yet sure. Cause: nobody took the lease until it was.
+    The earlier grants expired while the first list of targets was unconfirmed, and no
+    instance acquired the lease until it was confirmed.
     """
     willing: list[bool] = []
     lease = SimpleNamespace(
--- a/tests/router/test_load_reports.py
+++ b/tests/router/test_load_reports.py
@@ -1,4 +1,4 @@
-"""Tests of the reports of load."""
+"""Tests of the load reports."""
 
 from __future__ import annotations
 
@@ -22,11 +22,10 @@
 
 
 @pytest.mark.parametrize("members", [1, 8, 36, 72, 300, 7000])
-def test_reports_to_the_assigner_have_a_bound(members: int) -> None:
-    """Symptom: the assigner of a large fleet was busy with reports.
+def test_report_rate_at_the_assigner_is_bounded(members: int) -> None:
+    """Guards against an assigner overloaded by the reports of a large fleet.
 
-    Sequence: 72 instances reported their load five times a second each. Cause: the pace
-    of one instance did not depend on how many there are.
+    With 72 instances that each reported five times per second it was busy with reports.
     """
     assert members / report_interval(members) <= FULL_RATE_MEMBERS / MIN_REPORT_INTERVAL
     assert report_interval(members) >= MIN_REPORT_INTERVAL
@@ -40,7 +39,7 @@
 
 
 def make_reports(link: FakeLink, *, leads: bool) -> LoadReports:
-    """Return the reports of an instance that knows a leader."""
+    """Return the load reports of an instance that knows the leader."""
     links = make_links(link)
     leader = KnownLeader(links)
     leader.adopt_record(LeaseRecord(holder="a/1", peer=link.peer, term=1, renewal=0))
@@ -48,8 +47,8 @@
     return LoadReports(links, leader, cast(LeaseElection, lease))
 
 
-def test_report_goes_to_the_leader_unless_it_is_empty() -> None:
-    """Nothing is sent where nothing was asked for."""
+def test_report_is_sent_to_the_leader_unless_it_is_empty() -> None:
+    """An instance without requests sends no report."""
     link = FakeLink("a", is_outgoing=True)
     reports = make_reports(link, leads=False)
     reports.send(LoadReport(), 0.0)
@@ -59,12 +58,12 @@
     assert list(item.load.loads[0].keys) == [5]
 
 
-def test_report_of_the_leader_stays_there() -> None:
-    """The instance that assigns keys counts its own load too."""
+def test_report_of_the_leader_is_handled_locally() -> None:
+    """The instance that assigns keys also counts its own load."""
     link = FakeLink("a", is_outgoing=True)
     reports = make_reports(link, leads=True)
-    taken: list[Item] = []
-    reports.on_load = taken.append
+    handled: list[Item] = []
+    reports.on_load = handled.append
     reports.send(make_report(), 0.0)
     assert not link.sent
-    assert list(taken[0].loads[0].keys) == [5]
+    assert list(handled[0].loads[0].keys) == [5]
--- a/tests/router/test_other_writers_site.py
+++ b/tests/router/test_other_writers_site.py
@@ -1,4 +1,4 @@
-"""Tests of a whole small site with entries that other writers left."""
+"""Integration tests with malformed store entries of other writers."""
 
 from __future__ import annotations
 
@@ -9,30 +9,29 @@
 from tests.router.site import Site
 
 
-def spoilt_entries(good: dict[str, Any]) -> list[object]:
-    """Return contents that name no target."""
+def malformed_entries(valid: dict[str, Any]) -> list[object]:
+    """Return entry contents that do not describe a valid target."""
     return [
         None,
         "text",
         [1, 2],
         {},
-        good | {"status": None},
-        good | {"status": good["status"] | {"state": "resting"}},
-        good | {"information": good["information"] | {"slots": "many"}},
-        good | {"address": 7},
-        good | {"born": "today"},
+        valid | {"status": None},
+        valid | {"status": valid["status"] | {"state": "resting"}},
+        valid | {"information": valid["information"] | {"slots": "many"}},
+        valid | {"address": 7},
+        valid | {"born": "today"},
     ]
 
 
-async def test_site_goes_on_beside_spoilt_entries(site: Site) -> None:
-    """Symptom: no change of any target was learnt any more.
+async def test_site_tolerates_malformed_entries(site: Site) -> None:
+    """Guards against one malformed entry that hides all later target changes.
 
-    Sequence: another writer left entries that can't be read; later a target registered.
-    Cause: one malformed entry made all changes of a watch count as no answer.
+    A watch answer that contained such an entry counted as no answer.
     """
-    good = site.targets_by_name["t0"].entry("desk")
-    for number, spoilt in enumerate(spoilt_entries(good)):
-        site.store.put("servers", f"x{number}", spoilt)
+    valid = site.targets_by_name["t0"].entry("desk")
+    for number, malformed in enumerate(malformed_entries(valid)):
+        site.store.put("servers", f"x{number}", malformed)
     await site.async_add_target("t9", "desk")
     await site.async_wait(lambda: site.is_owner("t9"))
     for router in site.routers_by_name.values():
@@ -44,11 +43,10 @@
     assert reply.status == 200
 
 
-async def test_keys_of_a_target_whose_entry_is_spoilt_move(site: Site) -> None:
-    """Symptom: requests for some keys failed for as long as an entry was spoilt.
+async def test_keys_of_a_target_with_a_malformed_entry_move(site: Site) -> None:
+    """Guards against failing requests for keys whose owner has a malformed entry.
 
-    Sequence: another writer replaced the entry of a target that owns keys.
-    Cause: the target was neither used nor released.
+    Another writer replaced the entry, and the target was neither used nor released.
     """
     site.store.put("servers", "t0", {"address": 7})
     await site.async_wait(lambda: not site.is_owner("t0"))
@@ -59,8 +57,8 @@
 
 
 @pytest.mark.parametrize("name", ["", "\ud800"])
-async def test_odd_names_do_not_stop_the_watch(site: Site, name: str) -> None:
-    """The name is where such an entry can't even be told from others."""
+async def test_unusual_names_do_not_stop_the_watch(site: Site, name: str) -> None:
+    """An entry with such a name cannot be identified by its name in messages."""
     site.store.put("servers", name, {})
     await site.async_add_target("t9", "desk")
     await site.async_wait(lambda: site.is_owner("t9"))
--- a/tests/router/test_planned_stop.py
+++ b/tests/router/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""Tests of the leaving of an instance."""
+"""Tests of the graceful shutdown of an instance."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 MARGIN = 0.1
 
 
-class Leaving:
-    """A planned stop, and notes of what it did."""
+class StoppingInstance:
+    """A planned stop with fakes that record its steps."""
 
     def __init__(self, *, in_flight: int = 0, is_held: bool = False) -> None:
         self.steps: list[str] = []
@@ -32,10 +32,10 @@
         )
         handler = SimpleNamespace(
             in_flight=in_flight,
-            refuse_new=lambda: self._note("refuse new"),
-            refuse_waiting=lambda: self._note("refuse waiting"),
+            refuse_new=lambda: self._record("refuse new"),
+            refuse_waiting=lambda: self._record("refuse waiting"),
         )
-        callers = SimpleNamespace(stop_listening=lambda: self._note("stop listening"))
+        callers = SimpleNamespace(stop_listening=lambda: self._record("stop listening"))
         self.stop = PlannedStop(
             lifecycle=self.lifecycle,
             lease=cast(LeaseElection, self.lease),
@@ -44,51 +44,51 @@
             handler=cast(RequestHandler, handler),
         )
 
-    def _note(self, step: str) -> None:
+    def _record(self, step: str) -> None:
         if step not in self.steps:
             self.steps.append(step)
 
     async def _async_give_up(self) -> None:
-        self._note("give the lease up")
+        self._record("release the lease")
 
 
 @pytest.fixture(autouse=True)
 def short_times_fixture(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let a stop take less than a second."""
+    """Shorten the delays so that a stop takes less than a second."""
     monkeypatch.setattr(planned_stop, "BALANCER_REMOVAL_TIME", 0.05)
     monkeypatch.setattr(planned_stop, "STOP_MARGIN", MARGIN)
 
 
-async def test_duties_go_first_and_callers_last() -> None:
-    """The lease goes at once; new requests are served until the balancer knows."""
-    leaving = Leaving()
-    await leaving.stop.async_run(GRACE)
-    assert leaving.lifecycle.leaving
-    assert leaving.steps == [
-        "give the lease up",
+async def test_lease_is_released_first_and_callers_are_refused_last() -> None:
+    """New requests are served until the load balancer has removed the instance."""
+    instance = StoppingInstance()
+    await instance.stop.async_run(GRACE)
+    assert instance.lifecycle.leaving
+    assert instance.steps == [
+        "release the lease",
         "stop listening",
         "refuse new",
         "refuse waiting",
     ]
 
 
-async def test_grace_period_ends_the_wait_for_requests() -> None:
-    """A request that a target keeps does not keep the process beyond its time."""
-    leaving = Leaving(in_flight=1)
-    began_at = asyncio.get_running_loop().time()
-    await leaving.stop.async_run(GRACE)
-    assert asyncio.get_running_loop().time() - began_at >= GRACE - MARGIN
+async def test_grace_period_limits_the_wait_for_requests() -> None:
+    """An unfinished request does not delay the exit beyond the grace period."""
+    instance = StoppingInstance(in_flight=1)
+    started_at = asyncio.get_running_loop().time()
+    await instance.stop.async_run(GRACE)
+    assert asyncio.get_running_loop().time() - started_at >= GRACE - MARGIN
 
 
-async def test_lease_is_kept_until_the_end_while_the_store_is_away() -> None:
-    """Symptom: all keys lost their owners while an instance was stopped.
+async def test_lease_is_kept_until_the_end_while_the_store_is_lost() -> None:
+    """Guards against keys that lose their owners when the holder stops in an outage.
 
-    Sequence: the store was away and the lease was given up; nobody could take it over.
-    Cause: a lease without holder ends the grants, one that is kept renews them.
+    Nobody can take over a lease released while the store is lost, so the grants expire.
+    A lease that is kept renews them.
     """
-    leaving = Leaving(is_held=True)
-    leaving.health.note_failure("no answer", 0.0)
-    assert leaving.health.is_lost
-    await leaving.stop.async_run(GRACE)
-    assert leaving.steps[-1] == "give the lease up"
-    assert leaving.steps[0] == "stop listening"
+    instance = StoppingInstance(is_held=True)
+    instance.health.note_failure("no answer", 0.0)
+    assert instance.health.is_lost
+    await instance.stop.async_run(GRACE)
+    assert instance.steps[-1] == "release the lease"
+    assert instance.steps[0] == "stop listening"
--- a/tests/router/test_restored_store.py
+++ b/tests/router/test_restored_store.py
@@ -1,4 +1,4 @@
-"""Tests of whole instances whose store comes back from an older copy."""
+"""Tests of a store that is restored from an older copy."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @pytest.fixture(name="store")
 async def store_fixture() -> AsyncIterator[StoreStandin]:
-    """Return a store that tells its era."""
+    """Return a store that sends its era."""
     store = StoreStandin()
     store.era = "1"
     await store.async_setup()
@@ -38,10 +38,10 @@
     clients.unload()
 
 
-async def test_watch_from_before_the_restore_is_not_made(
+async def test_watch_from_before_the_restore_is_not_sent(
     store: StoreStandin, client: StoreClient
 ) -> None:
-    """A number that was given out again looked like one without changes."""
+    """Guards against a reused revision that looks like one without changes."""
     copy = store.copy()
     store.put("kind", "a", {"x": 1})
     seen = (await client.async_list("kind")).revision
@@ -54,10 +54,10 @@
     assert len(store.calls) == calls
 
 
-async def test_watch_that_shows_the_restore_is_not_taken(
+async def test_watch_that_reveals_the_restore_is_discarded(
     store: StoreStandin, client: StoreClient
 ) -> None:
-    """Changes between the copy and a number given out again were missed."""
+    """Guards against missed changes between the copy and a reused revision."""
     copy = store.copy()
     store.put("kind", "a", {"x": 1})
     seen = (await client.async_list("kind")).revision
@@ -70,7 +70,7 @@
 async def test_write_for_an_object_from_before_the_restore_is_a_conflict(
     store: StoreStandin, client: StoreClient
 ) -> None:
-    """A record was replaced by one that was made for another of the same number."""
+    """Guards against a write based on another record with the same revision."""
     copy = store.copy()
     store.put("kind", "a", {"x": 1})
     seen = (await client.async_get("kind", "a")).revision
@@ -82,10 +82,10 @@
     assert (await client.async_get("kind", "a")).content == {"x": 2}
 
 
-async def test_write_that_shows_the_restore_does_not_count_as_done(
+async def test_write_that_reveals_the_restore_has_an_unknown_outcome(
     store: StoreStandin, client: StoreClient
 ) -> None:
-    """A lease was renewed over the record of whoever had taken it meanwhile."""
+    """Guards against a lease renewal that overwrites a new holder's record."""
     copy = store.copy()
     store.put("kind", "a", {"x": 1})
     seen = (await client.async_get("kind", "a")).revision
@@ -96,27 +96,27 @@
 
 
 @pytest.mark.parametrize("told", ["0", "x", "", "-1", "1e3", "9" * 30])
-async def test_answer_of_an_earlier_or_unreadable_era_is_none(
+async def test_answer_of_an_earlier_or_invalid_era_is_discarded(
     store: StoreStandin, client: StoreClient, told: str
 ) -> None:
-    """An answer that was long on its way brought lost entries back."""
+    """Guards against a delayed answer that brings lost entries back."""
     await client.async_list("kind")
     store.era = told
     with pytest.raises(StoreUnavailableError):
         await client.async_list("kind")
 
 
-async def test_answer_without_an_era_is_of_the_one_known(
+async def test_answer_without_an_era_belongs_to_the_known_era(
     store: StoreStandin, client: StoreClient
 ) -> None:
-    """Without the header nothing tells that the store was restored."""
+    """Without the header there is no sign that the store was restored."""
     before = (await client.async_list("kind")).revision
     store.era = None
     assert (await client.async_list("kind")).revision == before
 
 
 async def test_targets_are_known_after_a_restore(site: Site) -> None:
-    """Targets that registered stayed unknown until the revisions had caught up."""
+    """Guards against new targets that stay unknown until the revisions catch up."""
     site.store.era = "1"
     copy = site.store.copy()
     routers = site.routers_by_name.values()
@@ -142,39 +142,39 @@
 
 
 async def served_share(site: Site, via: str, seconds: float) -> float:
-    """Return the share of requests for keys all over that are served for a while."""
+    """Return the share of served requests across the key space for some seconds."""
     loop = asyncio.get_running_loop()
     until = loop.time() + seconds
-    served = asked = 0
+    served = sent = 0
     while loop.time() < until:
-        reply = await site.async_call("/read/x", via=via, key=asked * 4099 % 65536)
-        asked += 1
+        reply = await site.async_call("/read/x", via=via, key=sent * 4099 % 65536)
+        sent += 1
         served += reply.status == HTTPStatus.OK
         await asyncio.sleep(0.02)
-    return served / asked
+    return served / sent
 
 
-async def test_keys_are_served_on_after_a_copy_from_before_a_takeover(
+async def test_keys_stay_served_after_a_restore_from_before_a_takeover(
     site: Site,
 ) -> None:
-    """The copy named a holder that was gone, and nobody assigned keys."""
+    """Guards against a copy whose lease holder is gone, so that nobody assigns keys."""
     site.store.era = "1"
     await site.async_wait(lambda: bool(site.leader()))
     former = site.leader()
     copy = site.store.copy()
     await site.async_remove_router(former)
     await site.async_wait(lambda: site.leader() not in ("", former))
-    present = site.leader()
+    current = site.leader()
     await asyncio.sleep(0.5)
     site.store.restore(copy)
-    assert await served_share(site, present, 4.0) == 1.0
-    assert site.leader() == present
+    assert await served_share(site, current, 4.0) == 1.0
+    assert site.leader() == current
 
 
-async def test_keys_stay_with_their_owners_after_a_copy_from_before_a_move(
+async def test_keys_keep_their_owners_after_a_restore_from_before_a_move(
     site: Site,
 ) -> None:
-    """Two targets held the same keys once the copy had brought former owners back."""
+    """Guards against keys held by two targets after a copy restores former owners."""
     site.store.era = "1"
     copy = site.store.copy()
     joined = await site.async_add_target("joined", "desk")
--- a/tests/router/test_silent_watches.py
+++ b/tests/router/test_silent_watches.py
@@ -1,4 +1,4 @@
-"""Tests of a whole small site whose watches fall silent."""
+"""Integration tests of watches whose answers are lost."""
 
 from __future__ import annotations
 
@@ -9,19 +9,22 @@
 from swiftpin.helpers.clock import suspend_aware_now
 from tests.router.site import Site
 
-LEARNING_TIME: Final = UNCONFIRMED_WAIT + UNCONFIRMED_GRACE + MAX_HEARTBEAT_INTERVAL
-"""Seconds within which the holder of the lease learns of a change and tells it."""
+MAX_NOTIFICATION_TIME: Final = (
+    UNCONFIRMED_WAIT + UNCONFIRMED_GRACE + MAX_HEARTBEAT_INTERVAL
+)
+"""Seconds within which the lease holder learns of a change and announces it."""
 
 SLACK: Final = 3.0
-"""Seconds for a busy machine; far below the 15 s of a watch that is waited for."""
+"""Extra seconds for a busy machine; far below the 15 s that a watch may last."""
 
 
-async def test_change_whose_watches_were_all_lost_is_learnt(site: Site) -> None:
-    """Symptom: every instance sent to a target for seconds after it had left.
+async def test_change_is_learnt_although_all_watch_answers_were_lost(
+    site: Site,
+) -> None:
+    """Guards against requests to a target for seconds after it has left.
 
-    Sequence: the answers to all watches that told of it were lost, no other call was;
-    each instance heard that the others knew nothing newer.
-    Cause: whoever was heard confirmed what was known, though its watch was silent too.
+    The answers to all watches were lost, but no other call. The instances confirmed
+    each other's outdated version although none of them had a working watch.
     """
     store = site.store
     await site.async_wait(
@@ -34,7 +37,7 @@
     store.loses_watches = True
     draining = site.targets_by_name["t0"].entry("desk", state="draining")
     store.put("servers", "t0", draining)
-    began_at = suspend_aware_now()
+    started_at = suspend_aware_now()
     await site.async_wait(lambda: store.lost_watches >= len(site.routers_by_name))
     store.loses_watches = False
     await site.async_wait(
@@ -43,4 +46,4 @@
             for router in site.routers_by_name.values()
         )
     )
-    assert suspend_aware_now() - began_at < LEARNING_TIME + SLACK
+    assert suspend_aware_now() - started_at < MAX_NOTIFICATION_TIME + SLACK
--- a/tests/router/test_watch_duty.py
+++ b/tests/router/test_watch_duty.py
@@ -1,4 +1,4 @@
-"""Tests of which instances watch the store for the others."""
+"""Tests of the selection of instances that watch the store."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def make_link(name: str, targets: int = 10, *, leads: bool = False) -> PeerLink:
-    """Return a link to an instance that knows a version of the targets."""
+    """Return a link to an instance that announces a version of the targets."""
     now = asyncio.get_running_loop().time()
     link = PeerLink(cast(LinkHandler, None), now, is_outgoing=True)
     link.incarnation = name
@@ -38,19 +38,19 @@
 
 @pytest.fixture(name="directory")
 def directory_fixture() -> SimpleNamespace:
-    """Return a directory of which only the version matters."""
+    """Return a fake directory with a version."""
     return SimpleNamespace(version=10)
 
 
 @pytest.fixture(name="health")
 def health_fixture() -> StoreHealth:
-    """Return a store that answers."""
+    """Return the health of a store that answers."""
     return StoreHealth()
 
 
 @pytest.fixture(name="links")
 def links_fixture() -> SimpleNamespace:
-    """Return links, none yet."""
+    """Return the links of an instance, initially none."""
     return SimpleNamespace(outgoing_by_peer={})
 
 
@@ -58,7 +58,7 @@
 def make_duty_fixture(
     directory: SimpleNamespace, health: StoreHealth, links: SimpleNamespace
 ) -> MakeDuty:
-    """Return a function that makes the duty of an instance of a fleet."""
+    """Return a factory for the watch duty of an instance."""
 
     def make(
         name: str,
@@ -69,11 +69,11 @@
         watchers: Callable[[Iterable[str]], set[str]] = choose_configuration_watchers,
     ) -> WatchDuty:
         peers = {f"issuer-{number}": "" for number in range(issuers)}
-        lists = SimpleNamespace(members=members, peers_by_incarnation=peers)
+        issuer_list = SimpleNamespace(members=members, peers_by_incarnation=peers)
         rest: dict[str, Any] = {
             "links": links,
             "lease": SimpleNamespace(is_held=lambda now: holds_lease),
-            "permits": SimpleNamespace(issuers=lists),
+            "permits": SimpleNamespace(issuers=issuer_list),
             "health": health,
         }
         return WatchDuty(
@@ -89,12 +89,12 @@
 
 @pytest.fixture(name="duty")
 def duty_fixture(make_duty: MakeDuty) -> WatchDuty:
-    """Return the duty of a member of a large fleet that issues nothing."""
+    """Return the duty of a member of a large fleet that is not an issuer."""
     return make_duty("me", SMALL_FLEET_SIZE + 1, WATCHERS + 1)
 
 
 def link_all(links: SimpleNamespace, issuers: int, *, targets: int = 10) -> None:
-    """Link an instance to the holder of the lease and to all issuers."""
+    """Link an instance to the lease holder and to all issuers."""
     names = [f"issuer-{number}" for number in range(issuers)]
     links.outgoing_by_peer = {name: make_link(name, targets) for name in names}
     links.outgoing_by_peer["holder"] = make_link("holder", targets, leads=True)
@@ -104,7 +104,7 @@
 async def test_number_of_watches_does_not_grow_with_the_fleet(
     make_duty: MakeDuty, links: SimpleNamespace, members: int
 ) -> None:
-    """Each change of a large fleet was answered to every instance's own watch."""
+    """Guards against a store that must answer every instance of a large fleet."""
     issuers = members // 10
     link_all(links, issuers)
     names = [f"issuer-{number}" for number in range(issuers)]
@@ -117,34 +117,34 @@
 async def test_all_watch_in_a_small_fleet(
     make_duty: MakeDuty, links: SimpleNamespace
 ) -> None:
-    """A few more calls cost less there than news that come late."""
+    """In a small fleet a few more calls cost less than late updates."""
     link_all(links, WATCHERS)
     assert not make_duty("me", SMALL_FLEET_SIZE, WATCHERS).is_skipped()
 
 
-async def test_issuers_that_do_not_watch_are_not_relied_on(
+async def test_issuers_that_do_not_watch_are_not_trusted(
     duty: WatchDuty, links: SimpleNamespace
 ) -> None:
-    """Instances that watch nothing could assure each other that nothing is new."""
+    """Guards against instances without a watch that confirm each other's state."""
     names = [f"issuer-{number}" for number in range(WATCHERS, WATCHERS + 5)]
     links.outgoing_by_peer = {name: make_link(name) for name in names}
     assert not duty.is_skipped()
 
 
-async def test_version_just_told_does_not_make_a_member_watch(
+async def test_newly_announced_version_does_not_make_a_member_watch(
     duty: WatchDuty, links: SimpleNamespace, directory: SimpleNamespace
 ) -> None:
-    """All of a large fleet watched whenever the last heartbeats were a little older."""
+    """Guards against a fleet that starts to watch because heartbeats lag a little."""
     link_all(links, WATCHERS)
     duty.update_settled_version(100.0)
     directory.version = 12
     assert duty.is_skipped()
 
 
-async def test_watchers_that_stay_behind_are_not_relied_on(
+async def test_watchers_that_stay_behind_are_not_trusted(
     duty: WatchDuty, links: SimpleNamespace, directory: SimpleNamespace
 ) -> None:
-    """Who does not learn of targets can't tell of them."""
+    """A watcher that does not learn of changes cannot announce them."""
     link_all(links, WATCHERS)
     directory.version = 12
     for number in range(3):
@@ -155,7 +155,7 @@
 async def test_member_watches_when_its_watchers_have_lost_the_store(
     duty: WatchDuty, links: SimpleNamespace
 ) -> None:
-    """A store that turned the watchers away kept changes from the whole fleet."""
+    """Guards against changes missed by the fleet when the watchers lose the store."""
     link_all(links, WATCHERS)
     watchers = list(links.outgoing_by_peer.values())
     for link in watchers[: len(watchers) - MIN_WATCHERS + 1]:
@@ -166,7 +166,7 @@
 async def test_member_watches_when_its_watchers_fall_silent(
     duty: WatchDuty, links: SimpleNamespace
 ) -> None:
-    """Watchers that froze or were cut off kept changes from the whole fleet."""
+    """Guards against changes missed by the fleet when watchers freeze or disconnect."""
     link_all(links, WATCHERS)
     for link in links.outgoing_by_peer.values():
         link.last_received_at -= 1.0
@@ -176,7 +176,7 @@
 async def test_member_that_lost_the_store_watches_until_it_is_answered(
     duty: WatchDuty, links: SimpleNamespace, health: StoreHealth
 ) -> None:
-    """A member that stopped calling counted its store as lost for ever."""
+    """Guards against a member that considers the store lost forever."""
     link_all(links, WATCHERS)
     health.note_failure("away", 10.0)
     assert not duty.is_skipped()
@@ -185,10 +185,10 @@
 
 
 @pytest.mark.parametrize("members", [30, 100, 300])
-async def test_watchers_alone_try_a_silent_store_at_the_usual_pace(
+async def test_only_watchers_retry_a_lost_store_at_the_normal_rate(
     make_duty: MakeDuty, members: int
 ) -> None:
-    """Hundreds of instances that each tried again every second were too many."""
+    """Guards against hundreds of instances that each retry every second."""
     assert make_duty("me", members, WATCHERS).longest_pause(1.0) == MAX_RETRY_DELAY
     assert make_duty("issuer-0", members, WATCHERS).longest_pause(1.0) == 1.0
     holder = make_duty("me", members, WATCHERS, holds_lease=True)
@@ -198,7 +198,10 @@
 async def test_all_issuers_watch_the_targets(
     make_duty: MakeDuty, links: SimpleNamespace
 ) -> None:
-    """Issuers that learnt late of leaving targets gave no slots of them any more."""
+    """Guards against issuers that learn late that a target is leaving.
+
+    They then granted no more of its slots.
+    """
     issuers = WATCHERS + 4
     link_all(links, issuers)
     names = [f"issuer-{number}" for number in range(issuers)]
