--- a/tests/router/test_gossip.py
+++ b/tests/router/test_gossip.py
@@ -88,12 +88,12 @@
     The first neighbour with a newer version was asked repeatedly. When it froze it was
     asked until its link counted as lost.
     """
-    frozen, responsive = make_link("frozen", 12), make_link("heard", 12)
+    frozen, responsive = make_link("frozen", 12), make_link("responsive", 12)
     frozen.last_received_at -= 1.0
     links.live_links = lambda: [frozen, responsive]
     request_again(gossip)
     request_again(gossip)
-    assert asked == ["heard", "heard"]
+    assert asked == ["responsive", "responsive"]
 
 
 async def test_neighbours_with_a_newer_version_are_asked_in_turn(
--- a/tests/router/test_leader.py
+++ b/tests/router/test_leader.py
@@ -17,8 +17,8 @@
 async def test_next_term_is_requested_when_fences_run_low() -> None:
     """Guards against fences of the next term that are used in the current one.
 
-    Each failed grant takes a fence. When they reached the next term's fences, the
-    targets refused the grants of a successor.
+    When connections break at every call, each failed grant takes a fence. Once they
+    reached the next term's fences, the targets refused the grants of a successor.
     """
     lease = SimpleNamespace(term=3, wants_next_term=False)
     service = SimpleNamespace(name="desk", is_keyed=True)
--- a/tests/router/test_other_writers_site.py
+++ b/tests/router/test_other_writers_site.py
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize("name", ["", "\ud800"])
 async def test_unusual_names_do_not_stop_the_watch(site: Site, name: str) -> None:
-    """An entry with such a name cannot be identified by its name in messages."""
+    """The watch must also tolerate an entry whose name itself is invalid."""
     site.store.put("servers", name, {})
     await site.async_add_target("t9", "desk")
     await site.async_wait(lambda: site.is_owner("t9"))
