--- a/swiftpin/bench/decisions/key_owners.py
+++ b/swiftpin/bench/decisions/key_owners.py
@@ -14,7 +14,7 @@
 from swiftpin.keyranges.const import PLAN_INTERVAL
 from swiftpin.keyranges.key_load import KeyLoad
 from swiftpin.keyranges.planner import plan_moves
-from swiftpin.keyranges.range_assigner import LEAST_JOINED, MOST_JOINED
+from swiftpin.keyranges.range_assigner import MAX_MERGED_SEGMENTS, MIN_MERGED_SEGMENTS
 from swiftpin.keyranges.segment import Segment
 from swiftpin.keyranges.target_speed import TargetSpeed
 
@@ -105,8 +105,8 @@
         moves = plan_moves(
             before, capacities, self.load.rates_by_key, bounds, limited=limited
         )
-        joined, joined_fences = before.with_joined(self._fence, MOST_JOINED)
-        if not moves and len(joined_fences) < LEAST_JOINED:
+        joined, joined_fences = before.with_joined(self._fence, MAX_MERGED_SEGMENTS)
+        if not moves and len(joined_fences) < MIN_MERGED_SEGMENTS:
             return
         first_fence = self._fence + len(joined_fences)
         self._fence = first_fence + len(moves)
--- a/swiftpin/keyranges/assignment.py
+++ b/swiftpin/keyranges/assignment.py
@@ -54,7 +54,7 @@
         """Return the assignment after moves, each under a fence of its own."""
         segments = list(self.segments)
         for move in moves:
-            segments = _apply(segments, move, next_fence)
+            segments = _apply_move(segments, move, next_fence)
             next_fence += 1
         return replace(self, segments=tuple(segments))
 
@@ -91,10 +91,10 @@
         )
         return replace(self, segments=segments)
 
-    def without_finished(self, present: Assignment) -> Assignment:
+    def without_finished_moves(self, current: Assignment) -> Assignment:
         """Return this plan without the moves that have ended in the present one."""
-        open_fences = {segment.fence for segment in present.segments if segment.former}
-        finished = present.fences() - open_fences
+        open_fences = {segment.fence for segment in current.segments if segment.former}
+        finished = current.fences() - open_fences
         return replace(
             self,
             segments=tuple(
@@ -106,7 +106,7 @@
         )
 
 
-def _apply(segments: list[Segment], move: Move, fence: int) -> list[Segment]:
+def _apply_move(segments: list[Segment], move: Move, fence: int) -> list[Segment]:
     """Return the segments with one move carried out."""
     result = []
     for segment in segments:
@@ -140,10 +140,10 @@
     total = sum(weights_by_target.values())
     segments = []
     first = 0
-    passed = 0.0
+    cumulative_weight = 0.0
     for target, weight in sorted(weights_by_target.items()):
-        passed += weight
-        end = round(KEYS * passed / total)
+        cumulative_weight += weight
+        end = round(KEYS * cumulative_weight / total)
         if end <= first:
             continue
         segments.append(Segment(first=first, last=end - 1, owner=target, fence=fence))
@@ -177,7 +177,7 @@
         if ATTR_LONGEST_HOLD in fields:
             longest_hold = read_whole(fields[ATTR_LONGEST_HOLD], ATTR_LONGEST_HOLD)
         return Assignment(
-            segments=_with_lasts(starts),
+            segments=_fill_last_keys(starts),
             longest_hold=None if longest_hold is None else longest_hold / MILLISECONDS,
         )
     except FieldError as err:
@@ -201,7 +201,7 @@
     )
 
 
-def _with_lasts(starts: list[Segment]) -> tuple[Segment, ...]:
+def _fill_last_keys(starts: list[Segment]) -> tuple[Segment, ...]:
     """Return segments that reach to the next one; they must cover all keys."""
     firsts = [segment.first for segment in starts]
     if not firsts or firsts[0] != 0 or firsts != sorted(set(firsts)):
--- a/swiftpin/keyranges/assignment_loader.py
+++ b/swiftpin/keyranges/assignment_loader.py
@@ -19,11 +19,11 @@
 from swiftpin.model.target import Target
 from swiftpin.store_errors import ObjectMissingError
 
-FIRST_TARGETS_WAIT: Final = 1.5
+TARGETS_SETTLE_TIME: Final = 1.5
 """Seconds without a new target after which the first division is made: each target that
 registers later would cost moves."""
 
-READ_PAUSE: Final = 0.15
+READ_RETRY_DELAY: Final = 0.15
 """Seconds between two tries to read the record."""
 
 
@@ -48,25 +48,25 @@
         self._directory = directory
         self._hold_limit = hold_limit
         self._term = term
-        self.is_first_division = False
+        self.is_new_assignment = False
         """Whether the assignment is new, so that nobody has keys yet."""
 
     async def async_load(self, took_over_at: float) -> Assignment:
         """Return the assignment to go on from, however long it takes to get it."""
         while True:
             try:
-                return await self._async_read(took_over_at)
+                return await self._async_take_over(took_over_at)
             except ObjectMissingError:
-                targets = await self._async_first_targets()
+                targets = await self._async_wait_for_targets()
             except (StoreError, ConfigurationError) as err:
-                await self._async_pause(str(err))
+                await self._async_back_off(str(err))
                 continue
             try:
-                return await self._async_divide(targets)
+                return await self._async_create(targets)
             except StoreError as err:
-                await self._async_pause(str(err))
+                await self._async_back_off(str(err))
 
-    async def _async_read(self, took_over_at: float) -> Assignment:
+    async def _async_take_over(self, took_over_at: float) -> Assignment:
         """Take the assignment that a former holder of the lease left.
 
         Whatever that one granted ends at the latest after its longest hold; what it
@@ -89,33 +89,33 @@
         )
         return assignment
 
-    async def _async_first_targets(self) -> list[Target]:
+    async def _async_wait_for_targets(self) -> list[Target]:
         """Wait until the targets are there, and return them."""
-        known = -1
+        known_count = -1
         while True:
             now = suspend_aware_now()
             targets = self._directory.serving_targets(self._service, now)
-            if targets and len(targets) == known:
+            if targets and len(targets) == known_count:
                 return targets
-            known = len(targets)
-            await asyncio.sleep(FIRST_TARGETS_WAIT)
+            known_count = len(targets)
+            await asyncio.sleep(TARGETS_SETTLE_TIME)
 
-    async def _async_divide(self, targets: list[Target]) -> Assignment:
+    async def _async_create(self, targets: list[Target]) -> Assignment:
         """Record the first division of the keys among targets."""
         weights = {target.id: float(target.slots) for target in targets}
         assignment = divide_evenly(
             weights,
             self._granter.take_fence(),
-            self._hold_limit.for_record(0, len(targets), suspend_aware_now()),
+            self._hold_limit.limit_for_record(0, len(targets), suspend_aware_now()),
         )
         await self._record.async_create(assignment)
-        self.is_first_division = True
+        self.is_new_assignment = True
         log_message(
             message_type="assignment_made", service=self._service, targets=len(targets)
         )
         return assignment
 
-    async def _async_pause(self, reason: str) -> None:
+    async def _async_back_off(self, reason: str) -> None:
         """Note that the store did not serve, and wait before the next try."""
         log_message(
             message_type="assignment_unread",
@@ -123,4 +123,4 @@
             service=self._service,
             error=reason,
         )
-        await asyncio.sleep(READ_PAUSE)
+        await asyncio.sleep(READ_RETRY_DELAY)
--- a/swiftpin/keyranges/assignment_record.py
+++ b/swiftpin/keyranges/assignment_record.py
@@ -21,10 +21,10 @@
 from swiftpin.platform.store_client import StoreClient
 from swiftpin.store_errors import ObjectMissingError
 
-WRITER: Final = "writer"
+ATTR_WRITER: Final = "writer"
 """Field that names the assigner that wrote the record last."""
 
-ERA: Final = "era"
+ATTR_ERA: Final = "era"
 """Field with the era of the store in which it was written."""
 
 
@@ -46,7 +46,7 @@
         self._is_missing = False
         """Whether a restored store lacks the record."""
 
-    async def async_take_over(self, take_fence: Callable[[], int]) -> Assignment:
+    async def async_take_over(self, allocate_fence: Callable[[], int]) -> Assignment:
         """Return the assignment once the record is this assigner's.
 
         Moves that are under way get new fences: an earlier assigner may have given the
@@ -57,7 +57,7 @@
         found = await self._client.async_get(KIND_ASSIGNMENT, self._service)
         recorded = decode_assignment(found.content)
         segments = tuple(
-            replace(segment, fence=take_fence()) if segment.former else segment
+            replace(segment, fence=allocate_fence()) if segment.former else segment
             for segment in recorded.segments
         )
         assignment = replace(recorded, segments=segments)
@@ -80,10 +80,10 @@
         except StoreConflictError as err:
             # Either another instance assigns keys by now, or this is the late effect
             # of a write of this one whose answer was lost.
-            return await self._async_settle(content, str(err))
+            return await self._async_read_back(content, str(err))
         except StoreError as err:
             self._health.note_failure(str(err), suspend_aware_now())
-            return await self._async_settle(content, str(err))
+            return await self._async_read_back(content, str(err))
         self._health.note_answer(suspend_aware_now())
         return True
 
@@ -99,7 +99,7 @@
             KIND_ASSIGNMENT, self._service, content, self.revision
         )
 
-    async def _async_settle(self, content: dict[str, object], reason: str) -> bool:
+    async def _async_read_back(self, content: dict[str, object], reason: str) -> bool:
         """Read back whether a write stands."""
         try:
             found = await self._client.async_get(KIND_ASSIGNMENT, self._service)
@@ -109,23 +109,23 @@
         except StoreError as err:
             reason = f"{reason}; {err}"
             found = None
-        stands = found is not None and found.content == content
+        is_written = found is not None and found.content == content
         log_message(
             message_type="assignment_unsettled",
             level="warning",
             service=self._service,
             reason=reason,
-            stands=stands,
+            stands=is_written,
         )
         if found is not None and self._is_replaceable(found.content):
             self.revision = found.revision
-        return stands
+        return is_written
 
     def _encode(self, assignment: Assignment) -> dict[str, Any]:
         """Return the content to store."""
         return encode_assignment(assignment) | {
-            WRITER: self._writer,
-            ERA: self._client.era.newest,
+            ATTR_WRITER: self._writer,
+            ATTR_ERA: self._client.era.newest,
         }
 
     def _is_replaceable(self, content: object) -> bool:
@@ -136,7 +136,7 @@
         """
         if not isinstance(content, dict):
             return False
-        if content.get(WRITER) == self._writer:
+        if content.get(ATTR_WRITER) == self._writer:
             return True
-        era = content.get(ERA, 0)
+        era = content.get(ATTR_ERA, 0)
         return isinstance(era, int) and era < self._client.era.newest
--- a/swiftpin/keyranges/assignment_state.py
+++ b/swiftpin/keyranges/assignment_state.py
@@ -24,7 +24,7 @@
         return self.assignment
 
     @callback
-    def forget_fences(self) -> None:
+    def prune_granted_fences(self) -> None:
         """Drop the fences of segments that were cut, joined or moved since."""
         if len(self.granted_fences) > 2 * len(self.present.segments):
             self.granted_fences &= self.present.fences()
--- a/swiftpin/keyranges/const.py
+++ b/swiftpin/keyranges/const.py
@@ -15,14 +15,14 @@
 """Seconds for which a written lease lets its holder assign keys. Short, so that another
 instance takes over before the targets' grants end; four renewals fit in."""
 
-LEASE_RENEW: Final = 0.4
+LEASE_RENEW_INTERVAL: Final = 0.4
 """Seconds between two renewals of the lease."""
 
 LEASE_MARGIN: Final = 0.3
 """Seconds beyond `LEASE_TIME` that a candidate waits: clocks may run 2% apart and a
 renewal's answer may be on its way."""
 
-TERMS_AN_ERA: Final = 1_000_000
+TERMS_PER_ERA: Final = 1_000_000
 """Terms of one era of the store; the next era's are all higher, so fences rise above
 all that were handed out under records that the store has lost."""
 
@@ -38,10 +38,10 @@
 """Seconds beyond the lease's end for which votes can keep its holder in place. One
 that is not among the members waits for this too, since nobody asks for its vote."""
 
-GRANT_RENEW: Final = 1.0
+MIN_RENEW_INTERVAL: Final = 1.0
 """Seconds between two renewals of a grant in small services."""
 
-RENEWALS_PER_SECOND: Final = 250
+MAX_RENEWALS_PER_SECOND: Final = 250
 """Renewals that an assigner makes at most: each takes it about 0.7 ms. Where there are
 more grants, they are renewed less often and last longer."""
 
@@ -50,7 +50,7 @@
 candidates' wait and their polls together, and no longer, since the keys of a target
 that falls silent stay unserved until its grant has ended."""
 
-HOLD_TIME: Final = GRANT_RENEW + HOLD_BEYOND_RENEWAL
+HOLD_TIME: Final = MIN_RENEW_INTERVAL + HOLD_BEYOND_RENEWAL
 """Seconds of a grant in small services."""
 
 CLOCK_DRIFT: Final = 1.03
--- a/swiftpin/keyranges/lease_turn.py
+++ b/swiftpin/keyranges/election_rules.py
@@ -10,34 +10,34 @@
     EXTENSION_LIMIT,
     LEASE_MARGIN,
     LEASE_TIME,
-    TERMS_AN_ERA,
+    TERMS_PER_ERA,
 )
 from swiftpin.keyranges.lease_record import LeaseRecord
 
-POLL: Final = 0.25
+POLL_INTERVAL: Final = 0.25
 """Seconds between two looks at the lease while its holder is not heard of."""
 
-CALM_POLL: Final = 0.3
+RELAXED_POLL_INTERVAL: Final = 0.3
 """Seconds between two checks whether the holder is still heard of."""
 
-OUTSIDER_POLL: Final = 0.75
+NON_MEMBER_POLL_INTERVAL: Final = 0.75
 """Seconds between two looks of an instance that may not take the lease soon, since the
 record does not name it."""
 
-LINKED_OUTSIDER_POLL: Final = 2.5
+LINKED_NON_MEMBER_POLL_INTERVAL: Final = 2.5
 """Seconds between two such looks while other instances are heard, which tell of a new
 holder: in a fleet of hundreds all look at once when one is lost."""
 
-USUAL_STRENGTH: Final = 1.5
+SUFFICIENT_STRENGTH: Final = 1.5
 """Strength, in usual cores, that suits an assigner of hundreds of targets."""
 
-FIRST_ELECTION_DELAY: Final = 1.0
+FIRST_ELECTION_DELAY_PER_CORE: Final = 1.0
 """Seconds for each core that an instance lacks, at the first start only."""
 
-RANK_ELECTION_DELAY: Final = 0.03
+ELECTION_DELAY_PER_RANK: Final = 0.03
 """Seconds for each stronger member: a read and a write of the store."""
 
-NOTICE_TIME: Final = CALM_POLL + 1.2 * POLL
+MAX_DETECTION_TIME: Final = RELAXED_POLL_INTERVAL + 1.2 * POLL_INTERVAL
 """Seconds within which a member sees that the lease is free, and looks once more."""
 
 
@@ -51,7 +51,7 @@
     era: int
     """Era of the store as far as it is known."""
 
-    may_lack_record: bool
+    may_have_lost_record: bool
     """Whether the store may have lost a record that was there."""
 
     resigned_term: int
@@ -72,8 +72,10 @@
     one asks for votes: it frees the lease only when every such holder has run out.
     """
     record = view.record
-    is_lost = view.may_lack_record if record is None else record.era < view.era
-    if is_lost:
+    may_be_outdated = (
+        view.may_have_lost_record if record is None else record.era < view.era
+    )
+    if may_be_outdated:
         wait = LEASE_TIME + LEASE_MARGIN + EXTENSION_LIMIT
         return now - view.unchanged_since > wait
     if record is None:
@@ -93,7 +95,7 @@
 
 
 @callback
-def poll_pause(
+def poll_interval(
     view: LeaseView, name: str, strength: float, *, is_linked: bool
 ) -> float:
     """Return the seconds between two looks at a lease whose holder is not heard.
@@ -102,12 +104,12 @@
     """
     record = view.record
     if record is None:
-        return POLL + election_delay(view, name, strength) / 2
+        return POLL_INTERVAL + election_delay(view, name, strength) / 2
     if not record.members or name in record.members:
-        return POLL
+        return POLL_INTERVAL
     if record.holder.partition("/")[0] == name:
-        return POLL
-    return LINKED_OUTSIDER_POLL if is_linked else OUTSIDER_POLL
+        return POLL_INTERVAL
+    return LINKED_NON_MEMBER_POLL_INTERVAL if is_linked else NON_MEMBER_POLL_INTERVAL
 
 
 @callback
@@ -122,11 +124,11 @@
     """
     record = view.record
     if record is None:
-        return max(USUAL_STRENGTH - strength, 0.0) * FIRST_ELECTION_DELAY
+        return max(SUFFICIENT_STRENGTH - strength, 0.0) * FIRST_ELECTION_DELAY_PER_CORE
     if name in record.members:
-        return record.members.index(name) * RANK_ELECTION_DELAY
+        return record.members.index(name) * ELECTION_DELAY_PER_RANK
     if record.members and _was_given_up(record, view.resigned_term):
-        return len(record.members) * RANK_ELECTION_DELAY + NOTICE_TIME
+        return len(record.members) * ELECTION_DELAY_PER_RANK + MAX_DETECTION_TIME
     # Nobody is named, or all who are had their turn while it waited out the votes.
     return 0.0
 
@@ -134,7 +136,7 @@
 @callback
 def next_term(term: int, era: int) -> int:
     """Return the term after one, above all terms of the eras before."""
-    return max(term + 1, era * TERMS_AN_ERA)
+    return max(term + 1, era * TERMS_PER_ERA)
 
 
 @callback
--- a/swiftpin/keyranges/fences.py
+++ b/swiftpin/keyranges/fences.py
@@ -9,7 +9,7 @@
 FENCES_A_TERM: Final = 1_000_000
 """Fences of one term; the next term's are all higher."""
 
-RESERVE: Final = FENCES_A_TERM // 10
+FENCE_RESERVE: Final = FENCES_A_TERM // 10
 """Fences that are left when the next term is asked for. Each grant over a new
 connection takes one, 250 a second at most; to begin a term takes one write."""
 
@@ -38,7 +38,7 @@
     @property
     def is_nearly_spent(self) -> bool:
         """Return whether the term should end soon."""
-        return self._end - self._next < RESERVE
+        return self._end - self._next < FENCE_RESERVE
 
     @callback
     def begin_term(self, term: int) -> None:
@@ -54,7 +54,7 @@
         return first
 
     @callback
-    def take_map_number(self) -> int:
+    def allocate_map_number(self) -> int:
         """Return a number for a key map that is above all of the term before.
 
         Counted by the assigner, one that is started again in its term would begin
--- a/swiftpin/keyranges/hold_times.py
+++ b/swiftpin/keyranges/hold_times.py
@@ -7,29 +7,29 @@
 from swiftpin.core import callback
 from swiftpin.keyranges.const import (
     CLOCK_DRIFT,
-    GRANT_RENEW,
     HOLD_BEYOND_RENEWAL,
     HOLD_MARGIN,
     HOLD_TIME,
-    RENEWALS_PER_SECOND,
+    MAX_RENEWALS_PER_SECOND,
+    MIN_RENEW_INTERVAL,
 )
 
-MOST_RENEW_PAUSE: Final = 2.5
+MAX_RENEW_INTERVAL: Final = 2.5
 """Seconds between two renewals at most."""
 
-LONGEST_HOLD: Final = MOST_RENEW_PAUSE + HOLD_BEYOND_RENEWAL
+MAX_REGULAR_HOLD: Final = MAX_RENEW_INTERVAL + HOLD_BEYOND_RENEWAL
 """Seconds of a grant where there are most segments."""
 
 
-def renew_pause(segments: int) -> float:
+def renew_pause(segment_count: int) -> float:
     """Return the seconds between two renewals of a grant."""
-    busy = segments / RENEWALS_PER_SECOND
-    return max(GRANT_RENEW, min(busy, MOST_RENEW_PAUSE))
+    interval = segment_count / MAX_RENEWALS_PER_SECOND
+    return max(MIN_RENEW_INTERVAL, min(interval, MAX_RENEW_INTERVAL))
 
 
-def usual_hold(segments: int) -> float:
+def regular_hold(segment_count: int) -> float:
     """Return the seconds for which grants are given at rest."""
-    return renew_pause(segments) + HOLD_BEYOND_RENEWAL
+    return renew_pause(segment_count) + HOLD_BEYOND_RENEWAL
 
 
 class HoldLimit:
@@ -42,9 +42,9 @@
     before longer grants are given, and lowered only once they have all ended.
     """
 
-    def __init__(self, longest: float) -> None:
-        self._longest = longest
-        self._long_until = 0.0
+    def __init__(self, max_hold: float) -> None:
+        self._max_hold = max_hold
+        self._long_grants_until = 0.0
 
     @callback
     def note_recorded(self, recorded: float | None, now: float) -> float:
@@ -53,28 +53,32 @@
         A record that names nothing is another version's; it may have given the longest
         grants that targets take.
         """
-        limit = self._longest if recorded is None else recorded
-        self._note_given(limit, now)
+        limit = self._max_hold if recorded is None else recorded
+        self._note_granted(limit, now)
         return limit
 
     @callback
-    def for_record(self, segments_before: int, segments: int, now: float) -> float:
+    def limit_for_record(
+        self, previous_segment_count: int, segment_count: int, now: float
+    ) -> float:
         """Return the limit for a record that is about to be written."""
-        wanted = usual_hold(max(segments_before, segments))
-        may_be_long = wanted > HOLD_TIME or now < self._long_until
-        return min(LONGEST_HOLD if may_be_long else HOLD_TIME, self._longest)
+        wanted = regular_hold(max(previous_segment_count, segment_count))
+        may_be_long = wanted > HOLD_TIME or now < self._long_grants_until
+        return min(MAX_REGULAR_HOLD if may_be_long else HOLD_TIME, self._max_hold)
 
     @callback
-    def hold(self, segments: int, recorded: float | None, now: float) -> float:
+    def next_hold(
+        self, segment_count: int, recorded: float | None, now: float
+    ) -> float:
         """Return the seconds for which to grant now."""
-        limit = self._longest if recorded is None else recorded
-        hold = min(usual_hold(segments), limit, self._longest)
-        self._note_given(hold, now)
+        limit = self._max_hold if recorded is None else recorded
+        hold = min(regular_hold(segment_count), limit, self._max_hold)
+        self._note_granted(hold, now)
         return hold
 
     @callback
-    def _note_given(self, hold: float, now: float) -> None:
+    def _note_granted(self, hold: float, now: float) -> None:
         """Note that grants of some length were given up to now."""
         if hold > HOLD_TIME:
             ends_at = now + hold * CLOCK_DRIFT + HOLD_MARGIN
-            self._long_until = max(self._long_until, ends_at)
+            self._long_grants_until = max(self._long_grants_until, ends_at)
--- a/swiftpin/keyranges/key_map.py
+++ b/swiftpin/keyranges/key_map.py
@@ -31,13 +31,13 @@
     owners: tuple[str, ...]
     """Owner of each range; empty while the range is on the move."""
 
-    def changes_since(self, before: KeyMap) -> list[OwnerChange]:
+    def changes_since(self, previous: KeyMap) -> list[OwnerChange]:
         """Return the ranges whose owner differs from an earlier map."""
         changes: list[OwnerChange] = []
-        bounds = sorted({*self.firsts, *before.firsts})
+        bounds = sorted({*self.firsts, *previous.firsts})
         for first, end in zip(bounds, [*bounds[1:], KEYS], strict=True):
             owner = self.owner_of(first)
-            if owner != before.owner_of(first):
+            if owner != previous.owner_of(first):
                 changes.append(OwnerChange(first=first, last=end - 1, owner=owner))
         return changes
 
@@ -46,13 +46,13 @@
         firsts = list(self.firsts)
         owners = list(self.owners)
         for change in changes:
-            after = change.last + 1
+            next_key = change.last + 1
             low = bisect_left(firsts, change.first)
-            high = bisect_left(firsts, after)
+            high = bisect_left(firsts, next_key)
             new_firsts = [change.first]
             new_owners = [change.owner]
-            if after < KEYS and (high == len(firsts) or firsts[high] != after):
-                new_firsts.append(after)
+            if next_key < KEYS and (high == len(firsts) or firsts[high] != next_key):
+                new_firsts.append(next_key)
                 new_owners.append(owners[high - 1])
             firsts[low:high] = new_firsts
             owners[low:high] = new_owners
--- a/swiftpin/keyranges/key_map_publisher.py
+++ b/swiftpin/keyranges/key_map_publisher.py
@@ -11,11 +11,11 @@
 from swiftpin.keyranges.fences import Fences
 from swiftpin.keyranges.key_map import KeyMap
 
-PUBLISH_PAUSE: Final = 0.02
+PUBLISH_DELAY: Final = 0.02
 """Seconds for which changes of the map are collected: moves end in bursts, and each
 change goes to every instance."""
 
-FEW_MEMBERS: Final = 12
+SMALL_FLEET_SIZE: Final = 12
 """Instances above which changes are collected for longer, in proportion: 72 instances
 that took 50 changes a second spent most of their processor time on them."""
 
@@ -47,8 +47,8 @@
         """Hand out the present map soon, together with what changes until then."""
         if self._timer is None:
             loop = asyncio.get_running_loop()
-            pause = PUBLISH_PAUSE * max(1.0, self._count_members() / FEW_MEMBERS)
-            self._timer = loop.call_later(pause, self._publish_now)
+            delay = PUBLISH_DELAY * max(1.0, self._count_members() / SMALL_FLEET_SIZE)
+            self._timer = loop.call_later(delay, self._publish_now)
 
     @callback
     def unload(self) -> None:
@@ -60,22 +60,22 @@
     def _publish_now(self) -> None:
         """Hand out the present map if it differs from the last one."""
         self._timer = None
-        drawn = self._draw()
-        if drawn == self._published:
+        ranges = self._build_ranges()
+        if ranges == self._published:
             return
-        self._published = drawn
+        self._published = ranges
         self._on_map(
             KeyMap(
                 service=self._service,
                 term=self._term,
-                number=self._fences.take_map_number(),
-                firsts=drawn[0],
-                owners=drawn[1],
+                number=self._fences.allocate_map_number(),
+                firsts=ranges[0],
+                owners=ranges[1],
             )
         )
 
     @callback
-    def _draw(self) -> tuple[tuple[int, ...], tuple[str, ...]]:
+    def _build_ranges(self) -> tuple[tuple[int, ...], tuple[str, ...]]:
         """Return the first keys of the ranges and the targets that serve them."""
         firsts: list[int] = []
         owners: list[str] = []
--- a/swiftpin/keyranges/lease_election.py
+++ b/swiftpin/keyranges/lease_election.py
@@ -15,26 +15,26 @@
 from swiftpin.helpers.clock import suspend_aware_now
 from swiftpin.keyranges.const import (
     EXTENSION_LIMIT,
-    LEASE_RENEW,
+    LEASE_RENEW_INTERVAL,
     LEASE_TIME,
 )
-from swiftpin.keyranges.lease_record import LeaseRecord
-from swiftpin.keyranges.lease_store import LeaseStore, LeaseWrite
-from swiftpin.keyranges.lease_turn import (
-    CALM_POLL,
+from swiftpin.keyranges.election_rules import (
+    RELAXED_POLL_INTERVAL,
     LeaseView,
     election_delay,
     is_free,
     next_term,
-    poll_pause,
+    poll_interval,
 )
+from swiftpin.keyranges.lease_record import LeaseRecord
+from swiftpin.keyranges.lease_store import LeaseStore, LeaseWriteOutcome
 from swiftpin.platform.store_client import StoreClient
 
-WILLING_WAIT: Final = 0.3
+ELIGIBILITY_WAIT: Final = 0.3
 """Seconds at the start for which an instance waits to learn its configuration before
 it looks at the lease."""
 
-RETRY: Final = 0.1
+RENEW_RETRY_DELAY: Final = 0.1
 """Seconds before a renewal that failed is tried again, while the lease still runs."""
 
 
@@ -77,7 +77,7 @@
         """Last term for which a holder said that it assigns keys no more."""
 
         self.is_standing_down = False
-        self._willing = asyncio.Event()
+        self._eligible = asyncio.Event()
 
         self.wants_next_term = False
         """Whether the holder is to go on under its next term, for fences are scarce."""
@@ -109,14 +109,14 @@
         """Last term in which the lease was found to have run out, or was given up."""
 
     @property
-    def is_willing(self) -> bool:
+    def is_eligible(self) -> bool:
         """Return whether this instance knows enough to assign keys."""
-        return self._willing.is_set()
+        return self._eligible.is_set()
 
     @callback
     def note_willing(self) -> None:
         """Note that this instance knows enough to assign keys."""
-        self._willing.set()
+        self._eligible.set()
 
     @property
     def record(self) -> LeaseRecord | None:
@@ -162,13 +162,13 @@
 
     async def async_run(self) -> None:
         """Keep the lease, or wait for it, until cancelled."""
-        await self._async_wait_willing()
+        await self._async_wait_until_eligible()
         while True:
             now = suspend_aware_now()
             if self.is_held(now):
                 await asyncio.sleep(await self._async_renew())
             else:
-                await asyncio.sleep(await self._async_wait_turn(now))
+                await asyncio.sleep(await self._async_poll(now))
 
     async def async_probe(self) -> None:
         """Read the lease, to learn whether the store answers this instance."""
@@ -196,25 +196,25 @@
             members=record.members,
         )
         try:
-            await self._store.async_write_last(free)
+            await self._store.async_write_final(free)
         except StoreError as err:
             # Whoever comes next then waits until the lease has run out.
             log_message(message_type="lease_not_freed", level="warning", error=str(err))
 
-    async def _async_wait_willing(self) -> None:
+    async def _async_wait_until_eligible(self) -> None:
         """Wait at the start until this instance may take the lease, but not for long.
 
         A look just before that is wasted, and after a restart of all instances every
         key waits for the next one.
         """
         try:
-            async with asyncio.timeout(WILLING_WAIT):
-                await self._willing.wait()
+            async with asyncio.timeout(ELIGIBILITY_WAIT):
+                await self._eligible.wait()
         except TimeoutError:
             log_message(
                 message_type="lease_not_wanted_yet",
                 level="warning",
-                waited=WILLING_WAIT,
+                waited=ELIGIBILITY_WAIT,
             )
 
     async def _async_renew(self) -> float:
@@ -233,40 +233,40 @@
             if renewed.term > term:
                 self.wants_next_term = False
                 log_message(message_type="lease_next_term", term=renewed.term)
-            return LEASE_RENEW
+            return LEASE_RENEW_INTERVAL
         # On votes alone nothing is lost by a pause, and each try is two calls of a
         # store that answers nobody: 88 in an outage of 8 s (counted in a log).
-        is_voted = suspend_aware_now() >= self.valid_until
-        return CALM_POLL if is_voted else RETRY
+        runs_on_votes = suspend_aware_now() >= self.valid_until
+        return RELAXED_POLL_INTERVAL if runs_on_votes else RENEW_RETRY_DELAY
 
-    async def _async_wait_turn(self, now: float) -> float:
+    async def _async_poll(self, now: float) -> float:
         """Look at the lease, take it when it is free; return the seconds to wait."""
         if self._is_holder_heard(self.term):
-            return CALM_POLL * self._rng.uniform(0.7, 1.0)
+            return RELAXED_POLL_INTERVAL * self._rng.uniform(0.7, 1.0)
         try:
             await self._store.async_read()
         except StoreError as err:
             self._health.note_failure(str(err), suspend_aware_now())
-            return self._poll_pause() * self._rng.uniform(0.8, 1.6)
+            return self._poll_interval() * self._rng.uniform(0.8, 1.6)
         now = suspend_aware_now()
         view = self._view()
-        is_candidate = self.is_willing and not self.is_standing_down
+        is_candidate = self.is_eligible and not self.is_standing_down
         if is_candidate and is_free(view, self._name, now):
             if self._free_since is None:
                 self._free_since = now
             delay = election_delay(view, self._name, self._strength)
-            left = self._free_since + delay - now
-            if left > 0:
-                return min(left, self._poll_pause())
-            await self._async_take()
+            remaining = self._free_since + delay - now
+            if remaining > 0:
+                return min(remaining, self._poll_interval())
+            await self._async_acquire()
         else:
             self._free_since = None
-        return self._poll_pause() * self._rng.uniform(0.6, 1.2)
+        return self._poll_interval() * self._rng.uniform(0.6, 1.2)
 
     @callback
-    def _poll_pause(self) -> float:
+    def _poll_interval(self) -> float:
         """Return the seconds until the next look, before they are spread."""
-        return poll_pause(
+        return poll_interval(
             self._view(), self._name, self._strength, is_linked=self._is_linked()
         )
 
@@ -277,16 +277,16 @@
         return LeaseView(
             record=self.record,
             era=era,
-            may_lack_record=self._store.was_restored or not is_first_era,
+            may_have_lost_record=self._store.was_restored or not is_first_era,
             resigned_term=self.resigned_term,
             unchanged_since=self._store.unchanged_since,
             own_vote_until=self.own_vote_until,
         )
 
-    async def _async_take(self) -> None:
+    async def _async_acquire(self) -> None:
         """Try to become the holder, under the next term."""
         record = self.record
-        taken = LeaseRecord(
+        acquired = LeaseRecord(
             holder=self._incarnation,
             peer=self._peer,
             term=next_term(self.term, self._store.era),
@@ -294,21 +294,21 @@
             era=self._store.era,
             members=() if record is None else record.members,
         )
-        if await self._async_write(taken):
+        if await self._async_write(acquired):
             self._free_since = None
-            log_message(message_type="lease_taken", term=taken.term)
+            log_message(message_type="lease_taken", term=acquired.term)
 
     async def _async_write(self, record: LeaseRecord) -> bool:
         """Write a record of this instance's own; return whether it stands."""
         match await self._store.async_write(record):
-            case LeaseWrite.STANDS:
+            case LeaseWriteOutcome.WRITTEN:
                 # The same write may have been tried before; candidates may have
                 # counted from the first of these tries.
                 self.valid_until = self._store.unchanged_since + LEASE_TIME
                 self._held_term = record.term
                 self._renewal = record.renewal
                 return True
-            case LeaseWrite.TAKEN:
+            case LeaseWriteOutcome.HELD_BY_OTHER:
                 # Somebody else has it: no vote counts any more.
                 self._lapsed_term = self._held_term
         return False
--- a/swiftpin/keyranges/lease_store.py
+++ b/swiftpin/keyranges/lease_store.py
@@ -23,14 +23,14 @@
 from swiftpin.store_errors import ObjectMissingError
 
 
-class LeaseWrite(Enum):
+class LeaseWriteOutcome(Enum):
     """What became of a write."""
 
-    STANDS = auto()
+    WRITTEN = auto()
     UNKNOWN = auto()
     """It may stand, now or later, or not."""
 
-    TAKEN = auto()
+    HELD_BY_OTHER = auto()
     """Another holder's record stands."""
 
 
@@ -41,7 +41,7 @@
         self,
         client: StoreClient,
         health: StoreHealth,
-        on_seen: Callable[[LeaseRecord], None],
+        on_record: Callable[[LeaseRecord], None],
     ) -> None:
         self.record: LeaseRecord | None = None
         """The record last seen, of whichever holder."""
@@ -54,9 +54,9 @@
 
         self._client = client
         self._health = health
-        self._on_seen = on_seen
+        self._on_record = on_record
         self._revision: int | None = None
-        self._missing_in_era: int | None = None
+        self._era_without_record: int | None = None
         """Era in which there was no record last."""
 
         self._attempt = (0, 0)
@@ -83,8 +83,8 @@
         except ObjectMissingError:
             now = suspend_aware_now()
             self._health.note_answer(now)
-            if self._missing_in_era != self.era:
-                self._missing_in_era = self.era
+            if self._era_without_record != self.era:
+                self._era_without_record = self.era
                 self.unchanged_since = now
             self.record = None
             self._revision = None
@@ -98,12 +98,12 @@
         if found.revision != self._revision:
             self._revision = found.revision
             self.unchanged_since = now
-            self._see(record)
+            self._note_record(record)
         else:
             # No try was carried out until then.
             self._attempted_at = max(self._attempted_at, asked_at)
 
-    async def async_write(self, record: LeaseRecord) -> LeaseWrite:
+    async def async_write(self, record: LeaseRecord) -> LeaseWriteOutcome:
         """Write a record of this instance's own."""
         sent_at = suspend_aware_now()
         if self._attempt != (record.term, record.renewal):
@@ -113,18 +113,18 @@
         try:
             revision = await self._async_put(record)
         except StoreConflictError as err:
-            return await self._async_settle(record, str(err))
+            return await self._async_read_back(record, str(err))
         except StoreOutcomeUnknownError as err:
             self._health.note_failure(str(err), suspend_aware_now())
-            return await self._async_settle(record, str(err))
+            return await self._async_read_back(record, str(err))
         except StoreError as err:
             self._health.note_failure(str(err), suspend_aware_now())
-            return LeaseWrite.UNKNOWN
+            return LeaseWriteOutcome.UNKNOWN
         self._revision = revision
-        self._note_stands(record, sent_at)
-        return LeaseWrite.STANDS
+        self._note_written(record, sent_at)
+        return LeaseWriteOutcome.WRITTEN
 
-    async def async_write_last(self, record: LeaseRecord) -> None:
+    async def async_write_final(self, record: LeaseRecord) -> None:
         """Write a record after which this instance writes none; raise `StoreError`."""
         await self._client.async_replace(
             KIND_LEASE, NAME_LEASE, encode_lease(record), self._revision
@@ -141,7 +141,9 @@
             KIND_LEASE, NAME_LEASE, content, self._revision, limit=LEASE_CALL_TIMEOUT
         )
 
-    async def _async_settle(self, record: LeaseRecord, reason: str) -> LeaseWrite:
+    async def _async_read_back(
+        self, record: LeaseRecord, reason: str
+    ) -> LeaseWriteOutcome:
         """Read back whether a write stands whose answer was lost or a conflict.
 
         A write whose answer was lost may meet its own effect as a conflict at the
@@ -153,26 +155,26 @@
             await self.async_read()
         except StoreError as err:
             self._health.note_failure(str(err), suspend_aware_now())
-            return LeaseWrite.UNKNOWN
+            return LeaseWriteOutcome.UNKNOWN
         found = self.record
         is_older_copy = self.was_restored if found is None else found.era < self.era
         if is_older_copy:
             # It may lack this instance's own record. Nobody else can take the lease
             # while it runs: all wait out whoever the copy hides.
-            return LeaseWrite.UNKNOWN
+            return LeaseWriteOutcome.UNKNOWN
         if found is None or found.holder != record.holder or found.term > record.term:
-            return LeaseWrite.TAKEN
+            return LeaseWriteOutcome.HELD_BY_OTHER
         if (found.term, found.renewal) != (record.term, record.renewal):
-            return LeaseWrite.UNKNOWN
-        self._note_stands(record, self._attempted_at)
-        return LeaseWrite.STANDS
+            return LeaseWriteOutcome.UNKNOWN
+        self._note_written(record, self._attempted_at)
+        return LeaseWriteOutcome.WRITTEN
 
     @callback
-    def _see(self, record: LeaseRecord) -> None:
+    def _note_record(self, record: LeaseRecord) -> None:
         """Take a record that was read or written."""
-        before = self.record
+        previous = self.record
         self.record = record
-        if before is None or (before.holder, before.term) != (
+        if previous is None or (previous.holder, previous.term) != (
             record.holder,
             record.term,
         ):
@@ -182,11 +184,11 @@
                 term=record.term,
                 revision=self._revision,
             )
-        self._on_seen(record)
+        self._on_record(record)
 
     @callback
-    def _note_stands(self, record: LeaseRecord, sent_at: float) -> None:
+    def _note_written(self, record: LeaseRecord, sent_at: float) -> None:
         """Note that a record of this instance's own was written."""
         self._health.note_answer(suspend_aware_now())
-        self._see(record)
+        self._note_record(record)
         self.unchanged_since = sent_at
--- a/swiftpin/keyranges/range_assigner.py
+++ b/swiftpin/keyranges/range_assigner.py
@@ -37,12 +37,12 @@
 from swiftpin.platform.store_client import StoreClient
 from swiftpin.platform.target_control import TargetControl
 
-MOST_JOINED: Final = 24
-LEAST_JOINED: Final = 6
+MAX_MERGED_SEGMENTS: Final = 24
+MIN_MERGED_SEGMENTS: Final = 6
 """Neighbouring segments that are joined at a time, and for which alone the record is
 written: each segment is a grant to renew, each write of the record is paid for."""
 
-COLD_SHARE: Final = 0.5
+COLD_CAPACITY_SHARE: Final = 0.5
 """Part of its capacity that a target has in the seconds after its start."""
 
 
@@ -74,7 +74,7 @@
         self.load = KeyLoad()
         self.speed = TargetSpeed()
         self._service = service
-        self._declared = declared
+        self._get_service_spec = declared
         self._directory = directory
         self._lease = lease
         self._health = health
@@ -151,7 +151,7 @@
                 # The former assigner may have sent a release for it, which arrived
                 # when the kernel gave up on it at the latest.
                 self._moves.start(segment, self._took_over_at + CONTROL_TIMEOUT)
-            elif not self._loader.is_first_division:
+            elif not self._loader.is_new_assignment:
                 self._state.granted_fences.add(segment.fence)
         self._publisher.publish()
 
@@ -159,7 +159,7 @@
     def _usual_hold(self) -> float:
         """Return the seconds for which grants are given at rest."""
         present = self._state.present
-        return self._hold_limit.hold(
+        return self._hold_limit.next_hold(
             len(present.segments), present.longest_hold, suspend_aware_now()
         )
 
@@ -172,15 +172,15 @@
             now = suspend_aware_now()
             self.load.decay(now)
             self._directory.sweep(now)
-            self._forget_gone(now)
+            self._prune_state(now)
             if not self._lease.is_held(now) or self._health.is_lost:
                 continue
-            if self._may_lack_targets(now):
+            if self._may_miss_live_owners(now):
                 continue
             await self._async_plan_once(now)
 
     @callback
-    def _may_lack_targets(self, now: float) -> bool:
+    def _may_miss_live_owners(self, now: float) -> bool:
         """Return whether an owner may be alive though its entry is missing.
 
         The first list after a start may have been read right after an outage of the
@@ -196,45 +196,47 @@
         )
 
     @callback
-    def _forget_gone(self, now: float) -> None:
+    def _prune_state(self, now: float) -> None:
         """Drop what is known of lives that are gone: each start brings a new one."""
         involved = self._state.involved_targets()
         self._sessions.forget(involved, now)
-        self._state.forget_fences()
+        self._state.prune_granted_fences()
         self._granter.forget_handovers(self._state.present)
         self.speed.keep(involved | self._directory.targets_by_id.keys())
 
     async def _async_plan_once(self, now: float) -> None:
         """Plan, record and start moves."""
-        before = self._state.present
+        current = self._state.present
         capacities = self._capacities(now)
         bounds = {
             target: self._capacity_bounds(target, capacity)
             for target, capacity in capacities.items()
         }
         moves = plan_moves(
-            before,
+            current,
             capacities,
             self.load.rates_by_key,
             bounds,
             limited=self._limited_targets(now) & capacities.keys(),
         )
-        joined, joined_fences = before.with_joined(self._fences.next, MOST_JOINED)
-        if not moves and len(joined_fences) < LEAST_JOINED:
+        merged, merged_fences = current.with_joined(
+            self._fences.next, MAX_MERGED_SEGMENTS
+        )
+        if not moves and len(merged_fences) < MIN_MERGED_SEGMENTS:
             return
-        self._fences.take(len(joined_fences))
+        self._fences.take(len(merged_fences))
         first_fence = self._fences.take(len(moves))
-        planned = joined.with_moves(moves, first_fence)
-        limit = self._hold_limit.for_record(
-            len(before.segments), len(planned.segments), now
+        planned = merged.with_moves(moves, first_fence)
+        limit = self._hold_limit.limit_for_record(
+            len(current.segments), len(planned.segments), now
         )
         planned = replace(planned, longest_hold=limit)
         if not await self._record.async_replace(planned):
             return
         # The owner holds all keys of a joined segment under their earlier fences.
-        self._state.granted_fences.update(joined_fences)
+        self._state.granted_fences.update(merged_fences)
         # Moves that ended while the record was written are not lost by this.
-        self._state.assignment = planned.without_finished(self._state.present)
+        self._state.assignment = planned.without_finished_moves(self._state.present)
         self._log_moves(moves, first_fence)
         for segment in self._state.present.segments:
             if segment.former and segment.fence >= first_fence:
@@ -250,20 +252,22 @@
                 continue
             capacity = self.speed.capacity(target.id, target.slots)
             if self._is_cold(target, now):
-                capacity = min(capacity * COLD_SHARE, self._declared().cold_rate)
+                capacity = min(
+                    capacity * COLD_CAPACITY_SHARE, self._get_service_spec().cold_rate
+                )
             capacities[target.id] = capacity
         return capacities
 
     @callback
     def _is_cold(self, target: Target, now: float) -> bool:
         """Return whether a target bears less than usual."""
-        cold_start = self._declared().cold_start
+        cold_start = self._get_service_spec().cold_start
         return self._directory.cold_left(target, cold_start, now) > 0
 
     @callback
     def _limited_targets(self, now: float) -> set[str]:
         """Return the targets that bear only the rate of cold ones."""
-        if math.isinf(self._declared().cold_rate):
+        if math.isinf(self._get_service_spec().cold_rate):
             return set()
         return {
             target.id
--- a/tests/keyranges/test_assignment.py
+++ b/tests/keyranges/test_assignment.py
@@ -98,7 +98,7 @@
     assert moved.longest_hold == 5.9
     assert moved.with_joined(90, 10)[0].longest_hold == 5.9
     assert moved.with_replaced(moved.segments[0], moved.segments[0]) == moved
-    assert moved.without_finished(told).longest_hold == 5.9
+    assert moved.without_finished_moves(told).longest_hold == 5.9
 
 
 def test_moves_that_ended_while_a_plan_was_recorded_stay_ended(
@@ -114,7 +114,7 @@
     ended = moving.with_replaced(
         moving.segments[0], replace(moving.segments[0], former="")
     )
-    after = planned.without_finished(ended)
+    after = planned.without_finished_moves(ended)
     assert after.segment_of(5).former == ""
     assert after.segment_of(25).former == "a"
-    assert planned.without_finished(moving) == planned
+    assert planned.without_finished_moves(moving) == planned
--- a/tests/keyranges/test_assignment_loader.py
+++ b/tests/keyranges/test_assignment_loader.py
@@ -86,8 +86,8 @@
     sessions: TargetSessions,
 ) -> Callable[[], AssignmentLoader]:
     """Return what makes a loader that does not wait."""
-    monkeypatch.setattr(loader_module, "FIRST_TARGETS_WAIT", 0.0)
-    monkeypatch.setattr(loader_module, "READ_PAUSE", 0.0)
+    monkeypatch.setattr(loader_module, "TARGETS_SETTLE_TIME", 0.0)
+    monkeypatch.setattr(loader_module, "READ_RETRY_DELAY", 0.0)
     return lambda: AssignmentLoader(
         service="desk",
         record=cast(AssignmentRecord, record),
@@ -122,7 +122,7 @@
     ends_at = 100.0 + CONTROL_TIMEOUT + hold * CLOCK_DRIFT + HOLD_MARGIN
     assert sessions.of("a@1").held_until == pytest.approx(ends_at)
     assert sessions.of("b@1").held_until == pytest.approx(ends_at)
-    assert not loader.is_first_division
+    assert not loader.is_new_assignment
 
 
 async def test_store_that_does_not_serve_is_asked_again(
@@ -145,5 +145,5 @@
     assignment = await loader.async_load(100.0)
     assert {segment.owner for segment in assignment.segments} == {"a@1"}
     assert assignment.longest_hold is not None
-    assert loader.is_first_division
+    assert loader.is_new_assignment
     assert record.assignment == assignment
--- a/tests/keyranges/test_assignment_state.py
+++ b/tests/keyranges/test_assignment_state.py
@@ -45,5 +45,5 @@
 def test_fences_of_segments_that_are_gone_are_forgotten(state: AssignmentState) -> None:
     """Each move has a fence of its own, so they would grow as long as a term lasts."""
     state.granted_fences = set(range(10))
-    state.forget_fences()
+    state.prune_granted_fences()
     assert state.granted_fences == {5, 6}
--- a/tests/keyranges/test_lease_turn.py
+++ b/tests/keyranges/test_election_rules.py
@@ -7,15 +7,15 @@
 import pytest
 
 from swiftpin.keyranges.const import EXTENSION_LIMIT, LEASE_MARGIN, LEASE_TIME
-from swiftpin.keyranges.lease_record import LeaseRecord
-from swiftpin.keyranges.lease_turn import (
-    POLL,
+from swiftpin.keyranges.election_rules import (
+    POLL_INTERVAL,
     LeaseView,
     election_delay,
     is_free,
     next_term,
-    poll_pause,
+    poll_interval,
 )
+from swiftpin.keyranges.lease_record import LeaseRecord
 
 RECORD = LeaseRecord(
     holder="strong/1", peer="", term=3, renewal=7, members=("strong", "second", "third")
@@ -23,7 +23,7 @@
 VIEW = LeaseView(
     record=RECORD,
     era=0,
-    may_lack_record=False,
+    may_have_lost_record=False,
     resigned_term=0,
     unchanged_since=100.0,
     own_vote_until=0.0,
@@ -81,16 +81,16 @@
 
 def test_looks_at_a_lost_lease_do_not_grow_with_the_fleet() -> None:
     """All of a large fleet read the lease four times a second at each loss of it."""
-    assert poll_pause(VIEW, "second", 1.0, is_linked=True) == POLL
-    assert 300 / poll_pause(VIEW, "other", 1.0, is_linked=True) < 200
-    assert poll_pause(VIEW, "other", 1.0, is_linked=False) < 1.0
+    assert poll_interval(VIEW, "second", 1.0, is_linked=True) == POLL_INTERVAL
+    assert 300 / poll_interval(VIEW, "other", 1.0, is_linked=True) < 200
+    assert poll_interval(VIEW, "other", 1.0, is_linked=False) < 1.0
 
 
 def test_strong_instances_of_a_new_fleet_look_often() -> None:
     """Nobody is named yet; the weak let the strong go first anyway."""
     view = replace(VIEW, record=None)
-    assert poll_pause(view, "other", 2.0, is_linked=True) == POLL
-    assert POLL < poll_pause(view, "other", 0.5, is_linked=True) < 1.0
+    assert poll_interval(view, "other", 2.0, is_linked=True) == POLL_INTERVAL
+    assert POLL_INTERVAL < poll_interval(view, "other", 0.5, is_linked=True) < 1.0
 
 
 @pytest.mark.parametrize("name", ["strong", "second", "other"])
@@ -108,7 +108,7 @@
     """The copy may be from before there was a record."""
     view = replace(VIEW, record=None, era=1)
     assert is_free(view, "other", 100.0)
-    view = replace(view, may_lack_record=True)
+    view = replace(view, may_have_lost_record=True)
     assert not is_free(view, "other", RUN_OUT)
     assert is_free(view, "other", RUN_OUT + EXTENSION_LIMIT)
 
--- a/tests/keyranges/test_fences.py
+++ b/tests/keyranges/test_fences.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from swiftpin.keyranges.fences import FENCES_A_TERM, RESERVE, Fences
+from swiftpin.keyranges.fences import FENCE_RESERVE, FENCES_A_TERM, Fences
 
 
 def test_assigner_that_starts_again_uses_no_fence_twice() -> None:
@@ -37,7 +37,7 @@
     fences = Fences()
     fences.begin_term(3)
     assert not fences.is_nearly_spent
-    fences.take(FENCES_A_TERM - RESERVE)
+    fences.take(FENCES_A_TERM - FENCE_RESERVE)
     assert fences.is_nearly_spent
     fences.begin_term(4)
     assert not fences.is_nearly_spent
--- a/tests/keyranges/test_late_renewals.py
+++ b/tests/keyranges/test_late_renewals.py
@@ -119,7 +119,7 @@
         is_linked=lambda: False,
     )
     lease.note_willing()
-    await lease._async_wait_turn(now)
+    await lease._async_poll(now)
     assert lease.is_held(now)
     pass_time(0.4)
     sent_at = now
@@ -168,13 +168,13 @@
         key_maps=cast(KeyMapSharing, SimpleNamespace(hand_out=lambda key_map: None)),
     )
     lease.note_willing()
-    await lease._async_wait_turn(suspend_aware_now())
+    await lease._async_poll(suspend_aware_now())
     assigner = factory.make("desk", configuration, Fences())
     gate = assigner._renewer._granter._control._gate
     gate(0.0)
     await lease.async_give_up()
     lease.is_standing_down = False
-    await lease._async_wait_turn(suspend_aware_now())
+    await lease._async_poll(suspend_aware_now())
     assert lease.is_held(suspend_aware_now())
     with pytest.raises(RequestNotSentError):
         gate(0.0)
--- a/tests/keyranges/test_lease_election.py
+++ b/tests/keyranges/test_lease_election.py
@@ -14,8 +14,12 @@
     StoreUnavailableError,
 )
 from swiftpin.keyranges.const import EXTENSION_LIMIT, LEASE_MARGIN, LEASE_TIME
+from swiftpin.keyranges.election_rules import (
+    ELECTION_DELAY_PER_RANK,
+    POLL_INTERVAL,
+    RELAXED_POLL_INTERVAL,
+)
 from swiftpin.keyranges.lease_election import LeaseElection
-from swiftpin.keyranges.lease_turn import CALM_POLL, POLL, RANK_ELECTION_DELAY
 from swiftpin.model.store_era import StoreEra
 from swiftpin.model.store_revision import era_of, make_revision
 from swiftpin.platform.platform_object import PlatformObject
@@ -126,7 +130,7 @@
     if assigner.is_held(clock.now):
         await assigner._async_renew()
     else:
-        await assigner._async_wait_turn(clock.now)
+        await assigner._async_poll(clock.now)
 
 
 async def test_second_candidate_waits_for_the_end(
@@ -309,11 +313,11 @@
     for candidate in (named, stranger):
         candidate.resigned_term = holder.term
     await async_step(stranger, clock)
-    clock.now += CALM_POLL + POLL
+    clock.now += RELAXED_POLL_INTERVAL + POLL_INTERVAL
     await async_step(stranger, clock)
     assert not stranger.is_held(clock.now)
     await async_step(named, clock)
-    clock.now += POLL
+    clock.now += POLL_INTERVAL
     await async_step(named, clock)
     assert named.is_held(clock.now)
 
@@ -423,6 +427,6 @@
     candidate = make_assigner(store, "a")
     await async_step(candidate, clock)
     clock.now += LEASE_TIME + LEASE_MARGIN + 0.01
-    pause = await candidate._async_wait_turn(clock.now)
+    pause = await candidate._async_poll(clock.now)
     assert not candidate.is_held(clock.now)
-    assert pause == pytest.approx(2 * RANK_ELECTION_DELAY)
+    assert pause == pytest.approx(2 * ELECTION_DELAY_PER_RANK)
--- a/tests/keyranges/test_range_assigner.py
+++ b/tests/keyranges/test_range_assigner.py
@@ -198,7 +198,7 @@
     """
     directory = assigner._directory
     directory.adopt_list((), 5, 10.0)
-    assert not assigner._may_lack_targets(10.0)
+    assert not assigner._may_miss_live_owners(10.0)
     del directory.targets_by_id["a"]
-    assert assigner._may_lack_targets(10.0)
-    assert not assigner._may_lack_targets(10.0 + FIRST_LIST_SETTLE)
+    assert assigner._may_miss_live_owners(10.0)
+    assert not assigner._may_miss_live_owners(10.0 + FIRST_LIST_SETTLE)
--- a/tests/keyranges/test_restored_lease.py
+++ b/tests/keyranges/test_restored_lease.py
@@ -14,7 +14,7 @@
     EXTENSION_LIMIT,
     LEASE_MARGIN,
     LEASE_TIME,
-    TERMS_AN_ERA,
+    TERMS_PER_ERA,
 )
 from swiftpin.keyranges.lease_election import LeaseElection
 from swiftpin.model.store_era import StoreEra
@@ -130,7 +130,7 @@
     if election.is_held(clock.now):
         await election._async_renew()
     else:
-        await election._async_wait_turn(clock.now)
+        await election._async_poll(clock.now)
 
 
 async def hand_over(
@@ -187,7 +187,7 @@
     other = await wait_out(store, clock)
     assert other.is_held(clock.now)
     assert other.term > second.term
-    assert other.term >= TERMS_AN_ERA
+    assert other.term >= TERMS_PER_ERA
 
 
 async def test_holder_goes_on_in_its_term_after_a_restore(
