--- a/swiftpin/keyranges/assignment.py
+++ b/swiftpin/keyranges/assignment.py
@@ -22,28 +22,29 @@
 from swiftpin.platform.names import MILLISECONDS
 
 ROW_LENGTH: Final = 4
-"""Values of a row: first key, owner, fence, former owner."""
+"""Number of values in a row: first key, owner, fence, former owner."""
 
 ATTR_LONGEST_HOLD: Final = "longest_grant_ms"
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Assignment:
-    """Segments that cover all keys, in order."""
+    """Segments that cover all keys, in key order."""
 
     segments: tuple[Segment, ...]
     longest_hold: float | None = None
-    """Seconds of the longest grant that may still run; None in a record of a version
-    that does not tell."""
+    """Duration in seconds of the longest grant that may still be valid. None if the
+    record was written by a version that doesn't store it."""
 
     firsts: tuple[int, ...] = field(init=False, repr=False, compare=False)
+    """First key of each segment, for binary search."""
 
     def __post_init__(self) -> None:
         firsts = tuple(segment.first for segment in self.segments)
         object.__setattr__(self, "firsts", firsts)
 
     def segment_of(self, key: int) -> Segment:
-        """Return the segment that holds a key."""
+        """Return the segment that contains a key."""
         return self.segments[bisect_right(self.firsts, key) - 1]
 
     def fences(self) -> set[int]:
@@ -51,7 +52,7 @@
         return {segment.fence for segment in self.segments}
 
     def with_moves(self, moves: Iterable[Move], next_fence: int) -> Assignment:
-        """Return the assignment after moves, each under a fence of its own."""
+        """Return the assignment after moves, each of which gets its own fence."""
         segments = list(self.segments)
         for move in moves:
             segments = _apply_move(segments, move, next_fence)
@@ -59,10 +60,10 @@
         return replace(self, segments=tuple(segments))
 
     def with_joined(self, next_fence: int, most: int) -> tuple[Assignment, list[int]]:
-        """Return the assignment with neighbours of one owner joined, and their fences.
+        """Merge neighbouring segments of the same owner.
 
-        Joined segments get fences of their own, at most `most` of them. Segments on
-        the move stay as they are.
+        Return the assignment and the new fences, one per merged segment and at most
+        `most`. Segments that are being moved are left unchanged.
         """
         joined: list[Segment] = []
         fences: list[int] = []
@@ -85,14 +86,14 @@
         return replace(self, segments=tuple(joined)), fences
 
     def with_replaced(self, old: Segment, new: Segment) -> Assignment:
-        """Return the assignment with one segment replaced, if it still stands so."""
+        """Return the assignment with a segment replaced, if it still contains it."""
         segments = tuple(
             new if segment == old else segment for segment in self.segments
         )
         return replace(self, segments=segments)
 
     def without_finished_moves(self, current: Assignment) -> Assignment:
-        """Return this plan without the moves that have ended in the present one."""
+        """Return this plan without the moves that have finished in `current`."""
         open_fences = {segment.fence for segment in current.segments if segment.former}
         finished = current.fences() - open_fences
         return replace(
@@ -107,7 +108,7 @@
 
 
 def _apply_move(segments: list[Segment], move: Move, fence: int) -> list[Segment]:
-    """Return the segments with one move carried out."""
+    """Return the segments after a move."""
     result = []
     for segment in segments:
         if segment.last < move.first or segment.first > move.last:
@@ -136,7 +137,7 @@
     fence: int,
     longest_hold: float | None = None,
 ) -> Assignment:
-    """Return a first assignment with ranges in proportion to the weights."""
+    """Return an initial assignment with ranges in proportion to the weights."""
     total = sum(weights_by_target.values())
     segments = []
     first = 0
@@ -152,7 +153,7 @@
 
 
 def encode_assignment(assignment: Assignment) -> dict[str, Any]:
-    """Return the record's content; targets are named once and then numbered."""
+    """Return the record's content; rows refer to targets by their index."""
     numbers: dict[str, int] = {"": 0}
     rows = []
     for segment in assignment.segments:
@@ -185,10 +186,10 @@
 
 
 def _decode_row(row: object, names: list[str]) -> Segment:
-    """Return the segment in a row, as if it ended with its first key."""
+    """Return the segment in a row, with its first key as its last one."""
     values = read_list(row, "a row")
     if len(values) != ROW_LENGTH:
-        raise FieldError("a row has another length")
+        raise FieldError("a row has the wrong number of values")
     first = read_whole(values[0], "the first key", most=KEYS - 1)
     owner = names[read_whole(values[1], "the owner", most=len(names) - 1)]
     former = names[read_whole(values[3], "the former owner", most=len(names) - 1)]
@@ -202,10 +203,10 @@
 
 
 def _fill_last_keys(starts: list[Segment]) -> tuple[Segment, ...]:
-    """Return segments that reach to the next one; they must cover all keys."""
+    """Extend each segment to the next one; raise if they don't cover all keys."""
     firsts = [segment.first for segment in starts]
     if not firsts or firsts[0] != 0 or firsts != sorted(set(firsts)):
-        raise FieldError("the rows do not cover each key once")
+        raise FieldError("the rows do not cover each key exactly once")
     ends = [*firsts[1:], KEYS]
     return tuple(
         replace(segment, last=end - 1)
--- a/swiftpin/keyranges/assignment_loader.py
+++ b/swiftpin/keyranges/assignment_loader.py
@@ -1,4 +1,4 @@
-"""Where an assigner begins: at its predecessor's record, or at a first division."""
+"""Loading of the assignment that an assigner starts from."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 from swiftpin.store_errors import ObjectMissingError
 
 TARGETS_SETTLE_TIME: Final = 1.5
-"""Seconds without a new target after which the first division is made: each target that
-registers later would cost moves."""
+"""Seconds without a new target after which the initial assignment is made. Each target
+that registers later causes moves."""
 
 READ_RETRY_DELAY: Final = 0.15
-"""Seconds between two tries to read the record."""
+"""Seconds between two attempts to read the record."""
 
 
 class AssignmentLoader:
-    """Reads the record; makes the first one when there is none."""
+    """Reads the recorded assignment, or creates it if there is none."""
 
     def __init__(
         self,
@@ -49,10 +49,10 @@
         self._hold_limit = hold_limit
         self._term = term
         self.is_new_assignment = False
-        """Whether the assignment is new, so that nobody has keys yet."""
+        """Whether the assignment was just created, so no keys have been granted yet."""
 
     async def async_load(self, took_over_at: float) -> Assignment:
-        """Return the assignment to go on from, however long it takes to get it."""
+        """Return the assignment to start from; retry until the store provides it."""
         while True:
             try:
                 return await self._async_take_over(took_over_at)
@@ -67,10 +67,10 @@
                 await self._async_back_off(str(err))
 
     async def _async_take_over(self, took_over_at: float) -> Assignment:
-        """Take the assignment that a former holder of the lease left.
+        """Take over the assignment of the previous lease holder.
 
-        Whatever that one granted ends at the latest after its longest hold; what it
-        sent last may still be on its way.
+        Its grants expire at the latest after its longest hold, counted from the last
+        moment at which a call of that holder may arrive.
         """
         assignment = await self._record.async_take_over(self._granter.take_fence)
         arrived_at = took_over_at + CONTROL_TIMEOUT
@@ -90,7 +90,7 @@
         return assignment
 
     async def _async_wait_for_targets(self) -> list[Target]:
-        """Wait until the targets are there, and return them."""
+        """Wait until no more targets register, and return them."""
         known_count = -1
         while True:
             now = suspend_aware_now()
@@ -101,7 +101,7 @@
             await asyncio.sleep(TARGETS_SETTLE_TIME)
 
     async def _async_create(self, targets: list[Target]) -> Assignment:
-        """Record the first division of the keys among targets."""
+        """Divide the keys among targets and record this first assignment."""
         weights = {target.id: float(target.slots) for target in targets}
         assignment = divide_evenly(
             weights,
@@ -116,7 +116,7 @@
         return assignment
 
     async def _async_back_off(self, reason: str) -> None:
-        """Note that the store did not serve, and wait before the next try."""
+        """Log a failed attempt and wait before the next one."""
         log_message(
             message_type="assignment_unread",
             level="warning",
--- a/swiftpin/keyranges/assignment_record.py
+++ b/swiftpin/keyranges/assignment_record.py
@@ -22,19 +22,19 @@
 from swiftpin.store_errors import ObjectMissingError
 
 ATTR_WRITER: Final = "writer"
-"""Field that names the assigner that wrote the record last."""
+"""Field with the id of the assigner that wrote the record last."""
 
 ATTR_ERA: Final = "era"
-"""Field with the era of the store in which it was written."""
+"""Field with the store era in which the record was written."""
 
 
 class AssignmentRecord:
-    """Takes the record over, and replaces it if it is still the one last seen.
+    """Reads and replaces the record of a service's assignment.
 
-    The store may carry a write out seconds after it was given up, if the record is then
-    still at the revision that the write was made for. So whoever assigns keys from now
-    on writes the record before it acts on it: no plan of an earlier assigner can take
-    effect any more, and what is carried out is what stands.
+    The store may apply a write seconds after the caller gave up on it, if the record is
+    still at the expected revision. So a new assigner writes the record before it acts
+    on it: this changes the revision, and no pending write of an earlier assigner can
+    take effect any more.
     """
 
     def __init__(self, service: str, client: StoreClient, health: StoreHealth) -> None:
@@ -44,15 +44,15 @@
         self._health = health
         self._writer = os.urandom(4).hex()
         self._is_missing = False
-        """Whether a restored store lacks the record."""
+        """Whether the record is missing because the store was restored."""
 
     async def async_take_over(self, allocate_fence: Callable[[], int]) -> Assignment:
-        """Return the assignment once the record is this assigner's.
+        """Write the record as this assigner's own and return its assignment.
 
-        Moves that are under way get new fences: an earlier assigner may have given the
-        keys out under fences that are in no record and above the move's. Raises
-        `ObjectMissingError` when there is no record, `StoreError` when it is not known
-        to be this assigner's; it may be so later, and can be taken over again.
+        Unfinished moves get new fences: an earlier assigner may have granted their keys
+        under unrecorded fences that are higher than the move's. Raises
+        `ObjectMissingError` if there is no record, and `StoreError` if it is unknown
+        whether the record was written. Calling this again is safe in that case.
         """
         found = await self._client.async_get(KIND_ASSIGNMENT, self._service)
         recorded = decode_assignment(found.content)
@@ -67,19 +67,19 @@
         return assignment
 
     async def async_create(self, assignment: Assignment) -> None:
-        """Write the first assignment."""
+        """Create the record."""
         self.revision = await self._client.async_create(
             KIND_ASSIGNMENT, self._service, self._encode(assignment)
         )
 
     async def async_replace(self, assignment: Assignment) -> bool:
-        """Write an assignment; return whether it certainly stands."""
+        """Write an assignment; return True only if it was confirmed as written."""
         content = self._encode(assignment)
         try:
             await self._async_write(content)
         except StoreConflictError as err:
-            # Either another instance assigns keys by now, or this is the late effect
-            # of a write of this one whose answer was lost.
+            # Either another instance assigns keys now, or an earlier write of this
+            # assigner, whose answer was lost, was applied late.
             return await self._async_read_back(content, str(err))
         except StoreError as err:
             self._health.note_failure(str(err), suspend_aware_now())
@@ -88,7 +88,7 @@
         return True
 
     async def _async_write(self, content: dict[str, Any]) -> None:
-        """Write the record, which a restored store may lack."""
+        """Replace the record, or create it if a restored store lost it."""
         if self._is_missing:
             self.revision = await self._client.async_create(
                 KIND_ASSIGNMENT, self._service, content
@@ -100,7 +100,7 @@
         )
 
     async def _async_read_back(self, content: dict[str, object], reason: str) -> bool:
-        """Read back whether a write stands."""
+        """Read the record back; return whether it has the written content."""
         try:
             found = await self._client.async_get(KIND_ASSIGNMENT, self._service)
         except ObjectMissingError:
@@ -122,17 +122,17 @@
         return is_written
 
     def _encode(self, assignment: Assignment) -> dict[str, Any]:
-        """Return the content to store."""
+        """Return the content of the record."""
         return encode_assignment(assignment) | {
             ATTR_WRITER: self._writer,
             ATTR_ERA: self._client.era.newest,
         }
 
     def _is_replaceable(self, content: object) -> bool:
-        """Return whether a record is this assigner's, or of before a restore.
+        """Return whether a record is this assigner's, or from before a restore.
 
-        The assigner runs only while its instance holds the lease, and nobody takes that
-        over soon after a restore. Any other record is of a later holder.
+        The assigner runs only while its instance holds the lease, which no other
+        instance takes soon after a restore. Any other record belongs to a later holder.
         """
         if not isinstance(content, dict):
             return False
--- a/swiftpin/keyranges/assignment_state.py
+++ b/swiftpin/keyranges/assignment_state.py
@@ -1,4 +1,4 @@
-"""The assignment as its assigner knows it at present."""
+"""The current assignment of a service's keys."""
 
 from __future__ import annotations
 
@@ -8,24 +8,27 @@
 
 
 class AssignmentState:
-    """Shared by what plans, renews and publishes; all of it runs in one event loop."""
+    """State shared by planning, renewal and publication, all in one event loop."""
 
     def __init__(self) -> None:
         self.assignment: Assignment | None = None
-        """None until the record was read or made."""
+        """None until the record has been read or created."""
 
         self.granted_fences: set[int] = set()
-        """Recorded fences of segments whose owner has taken their keys."""
+        """Recorded fences of segments whose owner has accepted a grant."""
 
     @property
     def present(self) -> Assignment:
-        """Return the assignment, once there is one."""
+        """Return the assignment; requires that it has been loaded."""
         assert self.assignment is not None
         return self.assignment
 
     @callback
     def prune_granted_fences(self) -> None:
-        """Drop the fences of segments that were cut, joined or moved since."""
+        """Remove the fences of segments that no longer exist.
+
+        Segments disappear when they are split, merged or moved.
+        """
         if len(self.granted_fences) > 2 * len(self.present.segments):
             self.granted_fences &= self.present.fences()
 
@@ -38,15 +41,15 @@
 
     @callback
     def involved_targets(self) -> set[str]:
-        """Return the targets that own keys, or are to get or give some."""
+        """Return the targets that own keys, including both sides of each move."""
         segments = self.present.segments
         involved = {segment.owner for segment in segments}
         return (involved | {segment.former for segment in segments}) - {""}
 
     @callback
     def stands(self, segment: Segment) -> bool:
-        """Return whether a segment is still as it was when renewals began.
+        """Return whether a segment is still part of the assignment.
 
-        One that was cut, joined or given away meanwhile must not be granted again.
+        One that has been split, merged or moved since must not be granted again.
         """
         return self.present.segment_of(segment.first) == segment
--- a/swiftpin/keyranges/const.py
+++ b/swiftpin/keyranges/const.py
@@ -1,74 +1,79 @@
-"""Sizes and times of key-range ownership."""
+"""Constants of key-range ownership."""
 
 from __future__ import annotations
 
 from typing import Final
 
 KEYS: Final = 65536
-"""Number of keys; they are numbered from 0."""
+"""Number of keys; keys are numbered from 0."""
 
 KIND_LEASE: Final = "swiftpin-lease"
 KIND_ASSIGNMENT: Final = "swiftpin-keys"
 NAME_LEASE: Final = "assigner"
 
 LEASE_TIME: Final = 1.6
-"""Seconds for which a written lease lets its holder assign keys. Short, so that another
-instance takes over before the targets' grants end; four renewals fit in."""
+"""Seconds for which a lease is valid after it was written. Short enough for another
+instance to take over before the targets' grants expire; four renewals fit in."""
 
 LEASE_RENEW_INTERVAL: Final = 0.4
 """Seconds between two renewals of the lease."""
 
 LEASE_MARGIN: Final = 0.3
-"""Seconds beyond `LEASE_TIME` that a candidate waits: clocks may run 2% apart and a
-renewal's answer may be on its way."""
+"""Seconds that a candidate waits beyond `LEASE_TIME`: clocks may drift apart by 2% and
+the answer to a renewal may still be in transit."""
 
 TERMS_PER_ERA: Final = 1_000_000
-"""Terms of one era of the store; the next era's are all higher, so fences rise above
-all that were handed out under records that the store has lost."""
+"""Terms per store era. All terms of the next era are higher, so its fences exceed all
+fences that were issued under records that the store has lost."""
 
 LEASE_CALL_TIMEOUT: Final = 0.6
-"""Seconds for the answer to a renewal. A lost answer then leaves time to read back
-before the lease ends; the store takes 0.4 s when it is slowed a hundredfold."""
+"""Timeout of a renewal, in seconds. It leaves time to read the record back before the
+lease expires if the answer is lost; a store slowed down by a factor of 100 takes
+0.4 s."""
 
 VOTE_TIME: Final = 2.0
-"""Seconds for which a member leaves the lease alone after a vote: several
-heartbeats."""
+"""Seconds after a vote during which a member doesn't take the lease. Several heartbeats
+fit in."""
 
 EXTENSION_LIMIT: Final = 10.0
-"""Seconds beyond the lease's end for which votes can keep its holder in place. One
-that is not among the members waits for this too, since nobody asks for its vote."""
+"""Maximum seconds for which votes extend an expired lease. A candidate that is not a
+member waits for this time too, because nobody asks it for a vote."""
 
 MIN_RENEW_INTERVAL: Final = 1.0
 """Seconds between two renewals of a grant in small services."""
 
 MAX_RENEWALS_PER_SECOND: Final = 250
-"""Renewals that an assigner makes at most: each takes it about 0.7 ms. Where there are
-more grants, they are renewed less often and last longer."""
+"""Maximum rate at which an assigner renews grants; a renewal takes it about 0.7 ms. If
+there are more grants, they are renewed less often and last longer."""
 
 HOLD_BEYOND_RENEWAL: Final = 3.4
-"""Seconds of a grant beyond the pause between renewals: more than `LEASE_TIME`, the
-candidates' wait and their polls together, and no longer, since the keys of a target
-that falls silent stay unserved until its grant has ended."""
+"""Seconds by which a grant outlasts the renewal interval. More than the sum of
+`LEASE_TIME`, the candidates' wait and their polls, so that a new assigner renews grants
+in time. Not much more: the keys of a target that stops answering are not served until
+its grant has expired."""
 
 HOLD_TIME: Final = MIN_RENEW_INTERVAL + HOLD_BEYOND_RENEWAL
-"""Seconds of a grant in small services."""
+"""Duration of a grant in small services, in seconds."""
 
 CLOCK_DRIFT: Final = 1.03
-"""A target's clock may run 2% slow, and so end a grant later by that much."""
+"""Factor by which a grant may last longer on a target's clock, which may run 2%
+slow."""
 
 HOLD_MARGIN: Final = 0.15
-"""Seconds added to a grant's end for the call's way to the target."""
+"""Seconds added to the end of a grant for the transit of the call to the target."""
 
 CONTROL_TIMEOUT: Final = 0.6
-"""Seconds for the answer to a grant; targets answer in milliseconds. For as long the
-kernel may go on delivering it, which it does for a process that stands still too: one
-that arrives later could follow a newer grant of the same keys to another target."""
+"""Timeout of a grant call, in seconds; targets answer within milliseconds. It also
+limits how long the kernel tries to deliver the call, which it does even while this
+process is suspended: a call that arrives later could follow a newer grant of the same
+keys to another target."""
 
 RELEASE_TIMEOUT: Final = 3.0
-"""Seconds for the answer to a release, which comes when the running work has ended."""
+"""Timeout of a release call, in seconds. A target answers once the running requests for
+the keys have finished."""
 
 PLAN_INTERVAL: Final = 0.15
-"""Seconds between two looks at the load; hot keys change within seconds."""
+"""Seconds between two planning runs; hot keys change within seconds."""
 
 SHORTEST_HOLD: Final = 0.2
-"""Seconds of the shortest grant that is worth a call."""
+"""Minimum duration of a grant, in seconds; a shorter one is not worth a call."""
--- a/swiftpin/keyranges/election_rules.py
+++ b/swiftpin/keyranges/election_rules.py
@@ -1,4 +1,4 @@
-"""When it is an instance's turn to take the lease."""
+"""Rules on when an instance polls the lease and may acquire it."""
 
 from __future__ import annotations
 
@@ -15,61 +15,65 @@
 from swiftpin.keyranges.lease_record import LeaseRecord
 
 POLL_INTERVAL: Final = 0.25
-"""Seconds between two looks at the lease while its holder is not heard of."""
+"""Seconds between two reads of the lease while its holder is not heard."""
 
 RELAXED_POLL_INTERVAL: Final = 0.3
-"""Seconds between two checks whether the holder is still heard of."""
+"""Seconds between two checks whether the holder is still heard, and between the renewal
+attempts of a holder that relies on votes."""
 
 NON_MEMBER_POLL_INTERVAL: Final = 0.75
-"""Seconds between two looks of an instance that may not take the lease soon, since the
-record does not name it."""
+"""Seconds between two reads by an instance that is not a member in the record, which
+must wait longer before it may acquire the lease."""
 
 LINKED_NON_MEMBER_POLL_INTERVAL: Final = 2.5
-"""Seconds between two such looks while other instances are heard, which tell of a new
-holder: in a fleet of hundreds all look at once when one is lost."""
+"""Seconds between two such reads while other instances are heard, which report a new
+holder. In a fleet of hundreds, all instances start to read when a holder is lost."""
 
 SUFFICIENT_STRENGTH: Final = 1.5
-"""Strength, in usual cores, that suits an assigner of hundreds of targets."""
+"""Strength, in standard cores, that is sufficient to assign the keys of hundreds of
+targets."""
 
 FIRST_ELECTION_DELAY_PER_CORE: Final = 1.0
-"""Seconds for each core that an instance lacks, at the first start only."""
+"""Seconds of delay per core below `SUFFICIENT_STRENGTH`, if there is no record yet."""
 
 ELECTION_DELAY_PER_RANK: Final = 0.03
-"""Seconds for each stronger member: a read and a write of the store."""
+"""Seconds of delay per stronger member: the time for a read and a write of the
+store."""
 
 MAX_DETECTION_TIME: Final = RELAXED_POLL_INTERVAL + 1.2 * POLL_INTERVAL
-"""Seconds within which a member sees that the lease is free, and looks once more."""
+"""Seconds within which a member notices that the lease is free and polls once more."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LeaseView:
-    """What an instance knows of the lease; times are suspend-aware."""
+    """What an instance knows about the lease; times are suspend-aware."""
 
     record: LeaseRecord | None
-    """The record last read, None before there is one."""
+    """The last known record, None if there is none."""
 
     era: int
-    """Era of the store as far as it is known."""
+    """Newest known store era."""
 
     may_have_lost_record: bool
-    """Whether the store may have lost a record that was there."""
+    """Whether a record may have existed that the store lost."""
 
     resigned_term: int
-    """Last term for which a holder said that it assigns keys no more."""
+    """Last term in which a holder is known to have stopped assigning keys."""
 
     unchanged_since: float
-    """Since when the record has not changed, or has been missing."""
+    """Time since which the record has been unchanged, or missing."""
 
     own_vote_until: float
-    """Until when this instance has voted not to take over."""
+    """Time until which this instance has voted not to take over."""
 
 
 @callback
 def is_free(view: LeaseView, name: str, now: float) -> bool:
-    """Return whether the lease has run out, or was given up, for an instance.
+    """Return whether an instance may regard the lease as expired or given up.
 
-    A record from before the store was restored may hide a later holder, and whom that
-    one asks for votes: it frees the lease only when every such holder has run out.
+    If the store was restored, an old record may hide a later holder and the members it
+    asks for votes. The lease is free only once the lease of any such holder must have
+    expired.
     """
     record = view.record
     may_be_outdated = (
@@ -81,8 +85,8 @@
     if record is None:
         return True
     if record.holder.partition("/")[0] == name:
-        # An earlier incarnation of this one, so it has ended; or a lapsed lease of
-        # this incarnation that nobody took.
+        # Held by an earlier incarnation, which has ended, or by this one, whose lease
+        # has expired without another instance taking it.
         return True
     if _was_given_up(record, view.resigned_term):
         return True
@@ -98,9 +102,9 @@
 def poll_interval(
     view: LeaseView, name: str, strength: float, *, is_linked: bool
 ) -> float:
-    """Return the seconds between two looks at a lease whose holder is not heard.
+    """Return the seconds between two reads of a lease whose holder is not heard.
 
-    `is_linked` tells whether any other instance is heard.
+    `is_linked` is True while any other instance is heard.
     """
     record = view.record
     if record is None:
@@ -116,11 +120,11 @@
 def election_delay(view: LeaseView, name: str, strength: float) -> float:
     """Return the seconds for which a free lease is left to stronger instances.
 
-    Assigning takes most of a core where there are hundreds of targets. Members are
-    named strongest first; before there is a record each goes by itself. One that is
-    not named lets all of them look first: there may be many of its kind, and the first
-    of them to look would take each lease that is given up, find the work too much and
-    give it up again.
+    Assigning keys to hundreds of targets takes most of a core. The record lists its
+    members strongest first; without a record, the delay depends on the instance's own
+    strength. An instance that is not a member lets all members poll first. Otherwise,
+    with many such instances, the first of them to poll would acquire each lease that is
+    given up, be overloaded and give it up again.
     """
     record = view.record
     if record is None:
@@ -129,17 +133,18 @@
         return record.members.index(name) * ELECTION_DELAY_PER_RANK
     if record.members and _was_given_up(record, view.resigned_term):
         return len(record.members) * ELECTION_DELAY_PER_RANK + MAX_DETECTION_TIME
-    # Nobody is named, or all who are had their turn while it waited out the votes.
+    # There are no members, or all of them could have acquired the lease while this
+    # instance waited for the votes to expire.
     return 0.0
 
 
 @callback
 def next_term(term: int, era: int) -> int:
-    """Return the term after one, above all terms of the eras before."""
+    """Return the term after `term`, above all terms of earlier eras."""
     return max(term + 1, era * TERMS_PER_ERA)
 
 
 @callback
 def _was_given_up(record: LeaseRecord, resigned_term: int) -> bool:
-    """Return whether the holder of a lease said that it assigns keys no more."""
+    """Return whether the holder of a lease is known to have stopped assigning keys."""
     return not record.holder or resigned_term >= record.term
--- a/swiftpin/keyranges/fences.py
+++ b/swiftpin/keyranges/fences.py
@@ -1,4 +1,4 @@
-"""Fences of one service's grants, and numbers of its key maps."""
+"""Allocation of fences and key map numbers of a service."""
 
 from __future__ import annotations
 
@@ -7,22 +7,24 @@
 from swiftpin.core import callback
 
 FENCES_A_TERM: Final = 1_000_000
-"""Fences of one term; the next term's are all higher."""
+"""Fences per term; all fences of the next term are higher."""
 
 FENCE_RESERVE: Final = FENCES_A_TERM // 10
-"""Fences that are left when the next term is asked for. Each grant over a new
-connection takes one, 250 a second at most; to begin a term takes one write."""
+"""Number of remaining fences at which the next term is requested. Each grant over a new
+connection uses one, at most 250 per second; beginning a term takes one write."""
 
 
 class Fences:
-    """Hands out fences that only rise, within a term and from term to term.
+    """Allocates fences, which increase within a term and from term to term.
 
-    It outlives the assigner of a service's keys: one that is started again in the same
-    term, after a fault or when its service was declared anew, must not use a fence
-    twice. A target would take keys under a fence below one that another had.
+    It outlives the assigner of a service's keys. An assigner that is restarted in the
+    same term, after an error or because its service was removed and declared again,
+    must not reuse a fence: a target could then accept keys under a fence that is lower
+    than the fence of another target that had them before.
 
-    A holder whose term has few left begins its next term. Without that its fences would
-    run into those of its successor: all targets would refuse what that one grants.
+    A lease holder that is about to run out of fences begins its next term. Otherwise
+    its fences would overlap with those of its successor, and all targets would refuse
+    the successor's grants.
     """
 
     def __init__(self) -> None:
@@ -32,33 +34,33 @@
 
     @property
     def next(self) -> int:
-        """Return the fence that is taken next."""
+        """Return the next fence to be allocated."""
         return self._next
 
     @property
     def is_nearly_spent(self) -> bool:
-        """Return whether the term should end soon."""
+        """Return whether the next term should begin soon."""
         return self._end - self._next < FENCE_RESERVE
 
     @callback
     def begin_term(self, term: int) -> None:
-        """Go on with fences above all of the terms before."""
+        """Continue with fences above those of all earlier terms."""
         self._end = (term + 1) * FENCES_A_TERM
         self._next = max(self._next, term * FENCES_A_TERM + 1)
 
     @callback
     def take(self, count: int = 1) -> int:
-        """Return the first of some fences that were never used."""
+        """Allocate consecutive fences and return the first one."""
         first = self._next
         self._next += count
         return first
 
     @callback
     def allocate_map_number(self) -> int:
-        """Return a number for a key map that is above all of the term before.
+        """Return a key map number that is higher than all earlier ones.
 
-        Counted by the assigner, one that is started again in its term would begin
-        anew, and every instance would take its maps for old ones.
+        The assigner can't count them itself: if it were restarted in the same term, it
+        would start from 1 again, and all instances would ignore its maps as outdated.
         """
         self._map_number += 1
         return self._map_number
--- a/swiftpin/keyranges/hold_times.py
+++ b/swiftpin/keyranges/hold_times.py
@@ -1,4 +1,4 @@
-"""How often grants are renewed and how long they last."""
+"""Renewal intervals and durations ("holds") of grants."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 )
 
 MAX_RENEW_INTERVAL: Final = 2.5
-"""Seconds between two renewals at most."""
+"""Maximum seconds between two renewals of a grant."""
 
 MAX_REGULAR_HOLD: Final = MAX_RENEW_INTERVAL + HOLD_BEYOND_RENEWAL
-"""Seconds of a grant where there are most segments."""
+"""Duration of a grant in the services with the most segments, in seconds."""
 
 
 def renew_pause(segment_count: int) -> float:
@@ -28,18 +28,19 @@
 
 
 def regular_hold(segment_count: int) -> float:
-    """Return the seconds for which grants are given at rest."""
+    """Return the duration of a grant to a target that answers, in seconds."""
     return renew_pause(segment_count) + HOLD_BEYOND_RENEWAL
 
 
 class HoldLimit:
-    """The seconds that the record names as the longest grant that may still run.
-
-    A successor waits for as long before it takes a target's grants for ended. It can't
-    guess that from the number of segments: those that were joined moments ago had
-    longer grants, and a former assigner may have had other settings. Then a target
-    still held keys that the successor granted to another. So the limit is written
-    before longer grants are given, and lowered only once they have all ended.
+    """Tracks the recorded limit on the duration of grants that may still be valid.
+
+    A new assigner waits for this time before it considers a target's grants expired. It
+    can't derive the limit from the number of segments: segments that were merged
+    moments ago had longer grants, and the previous assigner may have had other
+    settings. With too short a limit, a target could still hold keys that the new
+    assigner grants to another one. So the limit is recorded before longer grants are
+    sent, and lowered only once all of them have expired.
     """
 
     def __init__(self, max_hold: float) -> None:
@@ -48,10 +49,10 @@
 
     @callback
     def note_recorded(self, recorded: float | None, now: float) -> float:
-        """Take what a former assigner's record names; return its longest grant.
+        """Note the limit in a previous assigner's record; return the effective limit.
 
-        A record that names nothing is another version's; it may have given the longest
-        grants that targets take.
+        A record without a limit was written by another version, which may have sent
+        the longest grants that targets accept.
         """
         limit = self._max_hold if recorded is None else recorded
         self._note_granted(limit, now)
@@ -70,7 +71,7 @@
     def next_hold(
         self, segment_count: int, recorded: float | None, now: float
     ) -> float:
-        """Return the seconds for which to grant now."""
+        """Return the duration of a grant that is sent now, in seconds."""
         limit = self._max_hold if recorded is None else recorded
         hold = min(regular_hold(segment_count), limit, self._max_hold)
         self._note_granted(hold, now)
@@ -78,7 +79,7 @@
 
     @callback
     def _note_granted(self, hold: float, now: float) -> None:
-        """Note that grants of some length were given up to now."""
+        """Note that grants of this duration may have been sent until now."""
         if hold > HOLD_TIME:
             ends_at = now + hold * CLOCK_DRIFT + HOLD_MARGIN
             self._long_grants_until = max(self._long_grants_until, ends_at)
--- a/swiftpin/keyranges/key_map.py
+++ b/swiftpin/keyranges/key_map.py
@@ -1,4 +1,4 @@
-"""Which target serves which key, as the instances route by it."""
+"""Map from keys to the targets that serve them, by which the instances route."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OwnerChange:
-    """Keys `first` to `last`, both included, have another owner; empty for none."""
+    """A new owner of keys `first` to `last`, both included; empty for none."""
 
     first: int
     last: int
@@ -29,10 +29,10 @@
     """First key of each range, in order, beginning with 0."""
 
     owners: tuple[str, ...]
-    """Owner of each range; empty while the range is on the move."""
+    """Owner of each range; empty while no target may serve it."""
 
     def changes_since(self, previous: KeyMap) -> list[OwnerChange]:
-        """Return the ranges whose owner differs from an earlier map."""
+        """Return the ranges whose owner differs from that in an earlier map."""
         changes: list[OwnerChange] = []
         bounds = sorted({*self.firsts, *previous.firsts})
         for first, end in zip(bounds, [*bounds[1:], KEYS], strict=True):
@@ -42,7 +42,7 @@
         return changes
 
     def with_changes(self, changes: Iterable[OwnerChange]) -> KeyMap:
-        """Return the next map, in which some ranges have other owners."""
+        """Return the next map, with new owners for some ranges."""
         firsts = list(self.firsts)
         owners = list(self.owners)
         for change in changes:
@@ -65,11 +65,11 @@
         )
 
     def owner_of(self, key: int) -> str:
-        """Return the target that serves a key, empty when none does now."""
+        """Return the target that serves a key; empty if none does."""
         return self.owners[bisect_right(self.firsts, key) - 1]
 
     def range_of(self, key: int) -> tuple[int, str]:
-        """Return the first key of a key's range, and its owner."""
+        """Return the first key and the owner of the range that contains a key."""
         index = bisect_right(self.firsts, key) - 1
         return self.firsts[index], self.owners[index]
 
--- a/swiftpin/keyranges/key_map_publisher.py
+++ b/swiftpin/keyranges/key_map_publisher.py
@@ -1,4 +1,4 @@
-"""Telling the instances which target serves which key."""
+"""Publication of a service's key map to the instances."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from swiftpin.keyranges.key_map import KeyMap
 
 PUBLISH_DELAY: Final = 0.02
-"""Seconds for which changes of the map are collected: moves end in bursts, and each
-change goes to every instance."""
+"""Seconds for which changes of the map are collected. Moves finish in bursts, and each
+published change is sent to every instance."""
 
 SMALL_FLEET_SIZE: Final = 12
-"""Instances above which changes are collected for longer, in proportion: 72 instances
-that took 50 changes a second spent most of their processor time on them."""
+"""Number of instances above which the delay grows in proportion to the fleet: 72
+instances that received 50 changes per second spent most of their CPU time on them."""
 
 
 class KeyMapPublisher:
-    """Hands out a map whenever the one that stands differs from the last one."""
+    """Publishes the key map whenever it differs from the last published one."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
 
     @callback
     def publish(self) -> None:
-        """Hand out the present map soon, together with what changes until then."""
+        """Schedule publication of the map, including changes made until then."""
         if self._timer is None:
             loop = asyncio.get_running_loop()
             delay = PUBLISH_DELAY * max(1.0, self._count_members() / SMALL_FLEET_SIZE)
@@ -52,13 +52,13 @@
 
     @callback
     def unload(self) -> None:
-        """Hand out nothing more."""
+        """Cancel the scheduled publication."""
         if self._timer is not None:
             self._timer.cancel()
 
     @callback
     def _publish_now(self) -> None:
-        """Hand out the present map if it differs from the last one."""
+        """Publish the current map if it differs from the last published one."""
         self._timer = None
         ranges = self._build_ranges()
         if ranges == self._published:
@@ -76,7 +76,7 @@
 
     @callback
     def _build_ranges(self) -> tuple[tuple[int, ...], tuple[str, ...]]:
-        """Return the first keys of the ranges and the targets that serve them."""
+        """Return the first key of each range, and the owners of the ranges."""
         firsts: list[int] = []
         owners: list[str] = []
         granted_fences = self._state.granted_fences
--- a/swiftpin/keyranges/lease_election.py
+++ b/swiftpin/keyranges/lease_election.py
@@ -1,4 +1,4 @@
-"""The lease of the one instance that assigns keys."""
+"""Election of the one instance that assigns keys, by a lease in the store."""
 
 from __future__ import annotations
 
@@ -31,25 +31,25 @@
 from swiftpin.platform.store_client import StoreClient
 
 ELIGIBILITY_WAIT: Final = 0.3
-"""Seconds at the start for which an instance waits to learn its configuration before
-it looks at the lease."""
+"""Maximum seconds for which an instance waits at its start for the configuration before
+it reads the lease."""
 
 RENEW_RETRY_DELAY: Final = 0.1
-"""Seconds before a renewal that failed is tried again, while the lease still runs."""
+"""Seconds before a failed renewal is retried while the lease is still valid."""
 
 
 class LeaseElection:
-    """Takes the lease when its holder is gone, and renews it while this one has it.
+    """Acquires the lease when its holder is gone, and renews it while it holds it.
 
-    The holder may assign keys until `valid_until`: the sending of its last written
-    renewal plus the lease time, on a clock that counts suspensions. A candidate waits
-    longer than that without seeing a change, so two instances never assign at the same
-    time, whatever was paused or cut off.
+    The holder may assign keys until `valid_until`: the time at which it sent its last
+    successful renewal plus `LEASE_TIME`, on a clock that includes suspensions. A
+    candidate waits longer than that without seeing a change. So two instances never
+    assign keys at the same time, even if one was suspended or partitioned.
 
-    While the store answers nobody, the holder goes on as long as every member named in
-    the record votes to leave the lease alone (`extended_until`), up to a limit. An
-    instance that is not named there waits beyond that limit. Without votes every
-    outage of the store that outlasts the targets' grants would leave all keys unserved.
+    While the store is unavailable to all instances, the holder continues for as long as
+    every member in the record votes not to take the lease (`extended_until`), up to a
+    limit. An instance that is not a member waits beyond that limit. Without votes, all
+    keys would become unserved in every store outage that outlasts the targets' grants.
     """
 
     def __init__(
@@ -67,23 +67,25 @@
         is_linked: Callable[[], bool],
     ) -> None:
         self.valid_until = 0.0
+        """Time until which this holder's lease is valid without votes."""
+
         self.extended_until = 0.0
-        """Until when every member has voted not to take over, at the holder."""
+        """Time until which the votes of all members extend this holder's lease."""
 
         self.own_vote_until = 0.0
-        """Until when this instance has voted not to take over."""
+        """Time until which this instance has voted not to take over."""
 
         self.resigned_term = 0
-        """Last term for which a holder said that it assigns keys no more."""
+        """Last term in which a holder is known to have stopped assigning keys."""
 
         self.is_standing_down = False
         self._eligible = asyncio.Event()
 
         self.wants_next_term = False
-        """Whether the holder is to go on under its next term, for fences are scarce."""
+        """Whether the holder should begin its next term because fences run low."""
 
         self.members: tuple[str, ...] = ()
-        """Names of the instances to be written into the record."""
+        """Names of the instances to write into the record, strongest first."""
 
         self.on_seen: Callable[[LeaseRecord], None] = _ignore
         self._name = name
@@ -96,49 +98,50 @@
         self._first_start = first_start
         self._free_since: float | None = None
         self._is_holder_heard = is_holder_heard
-        """Whether another instance says that it holds the lease, in a term or later."""
+        """Whether another instance claims the lease in a given or later term."""
 
         self._is_linked = is_linked
         self._held_term = 0
-        """Last term in which this instance got the lease."""
+        """Last term in which this instance acquired the lease."""
 
         self._renewal = 0
-        """Number of this instance's last renewal that stands."""
+        """Number of this instance's last successful renewal."""
 
         self._lapsed_term = 0
-        """Last term in which the lease was found to have run out, or was given up."""
+        """Last term in which this instance's lease expired or was given up."""
 
     @property
     def is_eligible(self) -> bool:
-        """Return whether this instance knows enough to assign keys."""
+        """Return whether this instance has a configuration, so it can assign keys."""
         return self._eligible.is_set()
 
     @callback
     def note_willing(self) -> None:
-        """Note that this instance knows enough to assign keys."""
+        """Note that this instance has a configuration, so it can assign keys."""
         self._eligible.set()
 
     @property
     def record(self) -> LeaseRecord | None:
-        """Return the record last seen, of whichever holder."""
+        """Return the last known record, of any holder."""
         return self._store.record
 
     @property
     def voters(self) -> frozenset[str]:
         """Return the members whose votes the holder needs.
 
-        A renewal without an answer may have been written, so those it named count too.
+        These include the members in a renewal whose answer was lost, because it may
+        have been written.
         """
         written = () if self.record is None else self.record.members
         return frozenset((*written, *self._store.attempted_members)) - {self._name}
 
     @callback
     def is_held(self, now: float) -> bool:
-        """Return whether this instance may assign keys at a time.
+        """Return whether this instance may assign keys at the given time.
 
-        A lease that was found to have run out never counts again in its term, neither
-        by a late vote nor by a renewal that was still on its way: others may have
-        been told that its holder stopped, and take over without a wait.
+        A lease that has expired stays so for its term, even if a late vote or the
+        answer to a renewal arrives: other instances may have been notified that its
+        holder stopped, and may take over without waiting.
         """
         if self._held_term <= self._lapsed_term:
             return False
@@ -151,17 +154,17 @@
 
     @callback
     def own_resigned_term(self, now: float) -> int:
-        """Return the last term for which this instance certainly assigns no keys."""
+        """Return the last term in which this instance has stopped assigning keys."""
         return 0 if self.is_held(now) else self._lapsed_term
 
     @property
     def term(self) -> int:
-        """Return the highest term seen; a restored store may show an earlier one."""
+        """Return the highest known term; a restored store may have a lower one."""
         seen = 0 if self.record is None else self.record.term
         return max(seen, self._held_term)
 
     async def async_run(self) -> None:
-        """Keep the lease, or wait for it, until cancelled."""
+        """Renew the lease, or wait to acquire it, until cancelled."""
         await self._async_wait_until_eligible()
         while True:
             now = suspend_aware_now()
@@ -171,7 +174,7 @@
                 await asyncio.sleep(await self._async_poll(now))
 
     async def async_probe(self) -> None:
-        """Read the lease, to learn whether the store answers this instance."""
+        """Read the lease to check whether the store answers this instance."""
         if self.is_held(suspend_aware_now()):
             return
         try:
@@ -180,7 +183,7 @@
             self._health.note_failure(str(err), suspend_aware_now())
 
     async def async_give_up(self) -> None:
-        """Let another instance take over at once; grants go on until they end."""
+        """Let another instance take over at once; grants remain valid until they end."""
         self.is_standing_down = True
         record = self.record
         if record is None or not self.is_held(suspend_aware_now()):
@@ -198,14 +201,14 @@
         try:
             await self._store.async_write_final(free)
         except StoreError as err:
-            # Whoever comes next then waits until the lease has run out.
+            # The next holder then has to wait until the lease has expired.
             log_message(message_type="lease_not_freed", level="warning", error=str(err))
 
     async def _async_wait_until_eligible(self) -> None:
-        """Wait at the start until this instance may take the lease, but not for long.
+        """Wait at the start, up to a limit, until this instance may acquire the lease.
 
-        A look just before that is wasted, and after a restart of all instances every
-        key waits for the next one.
+        A read before that can't lead to an acquisition, and after a restart of all
+        instances no key would be served until the next read.
         """
         try:
             async with asyncio.timeout(ELIGIBILITY_WAIT):
@@ -220,7 +223,8 @@
     async def _async_renew(self) -> float:
         """Write a renewal; return the seconds until the next one."""
         term, era = self.term, self._store.era
-        # Not made from the record last seen: a restored store shows an earlier one.
+        # Not derived from the last known record, which a restored store may have
+        # replaced by an older one.
         renewed = LeaseRecord(
             holder=self._incarnation,
             peer=self._peer,
@@ -234,13 +238,13 @@
                 self.wants_next_term = False
                 log_message(message_type="lease_next_term", term=renewed.term)
             return LEASE_RENEW_INTERVAL
-        # On votes alone nothing is lost by a pause, and each try is two calls of a
-        # store that answers nobody: 88 in an outage of 8 s (counted in a log).
+        # While votes extend the lease, a delay does no harm, and each attempt makes two
+        # calls to an unavailable store: 88 calls in an outage of 8 s.
         runs_on_votes = suspend_aware_now() >= self.valid_until
         return RELAXED_POLL_INTERVAL if runs_on_votes else RENEW_RETRY_DELAY
 
     async def _async_poll(self, now: float) -> float:
-        """Look at the lease, take it when it is free; return the seconds to wait."""
+        """Read the lease and acquire it if it is free; return the seconds to wait."""
         if self._is_holder_heard(self.term):
             return RELAXED_POLL_INTERVAL * self._rng.uniform(0.7, 1.0)
         try:
@@ -265,13 +269,13 @@
 
     @callback
     def _poll_interval(self) -> float:
-        """Return the seconds until the next look, before they are spread."""
+        """Return the seconds until the next read, without jitter."""
         return poll_interval(
             self._view(), self._name, self._strength, is_linked=self._is_linked()
         )
 
     def _view(self) -> LeaseView:
-        """Return what this instance knows of the lease."""
+        """Return what this instance knows about the lease."""
         era = self._store.era
         is_first_era = era == 0 or self._first_start
         return LeaseView(
@@ -284,7 +288,7 @@
         )
 
     async def _async_acquire(self) -> None:
-        """Try to become the holder, under the next term."""
+        """Try to acquire the lease under the next term."""
         record = self.record
         acquired = LeaseRecord(
             holder=self._incarnation,
@@ -299,17 +303,17 @@
             log_message(message_type="lease_taken", term=acquired.term)
 
     async def _async_write(self, record: LeaseRecord) -> bool:
-        """Write a record of this instance's own; return whether it stands."""
+        """Write a record that names this instance; return whether it was written."""
         match await self._store.async_write(record):
             case LeaseWriteOutcome.WRITTEN:
-                # The same write may have been tried before; candidates may have
-                # counted from the first of these tries.
+                # The same write may have been attempted before; candidates may have
+                # measured the lease's age from the first attempt.
                 self.valid_until = self._store.unchanged_since + LEASE_TIME
                 self._held_term = record.term
                 self._renewal = record.renewal
                 return True
             case LeaseWriteOutcome.HELD_BY_OTHER:
-                # Somebody else has it: no vote counts any more.
+                # Another instance holds the lease, so votes no longer count.
                 self._lapsed_term = self._held_term
         return False
 
--- a/swiftpin/keyranges/lease_record.py
+++ b/swiftpin/keyranges/lease_record.py
@@ -1,4 +1,4 @@
-"""The lease as it lies in the store."""
+"""The stored record of the lease."""
 
 from __future__ import annotations
 
@@ -18,31 +18,33 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LeaseRecord:
-    """Who assigns keys; `renewal` changes with each renewal."""
+    """The holder of the lease, which assigns keys."""
 
     holder: str
-    """Incarnation that holds the lease; empty when it was given up."""
+    """Incarnation that holds the lease; empty if it was given up."""
 
     peer: str
     """Address at which other instances reach the holder."""
 
     term: int
     renewal: int
+    """Number of renewals since the holder acquired the lease."""
+
     era: int = 0
-    """Era of the store in which it was written."""
+    """Store era in which the record was written."""
 
     members: tuple[str, ...] = ()
-    """Names of the instances that may take over as soon as the lease has run out; the
-    holder asks these for votes while the store is away."""
+    """Names of the instances that may take over as soon as the lease has expired. The
+    holder asks them for votes while the store is unavailable."""
 
 
 def encode_lease(record: LeaseRecord) -> dict[str, Any]:
-    """Return the content to store."""
+    """Return the content of the stored record."""
     return asdict(record) | {"members": list(record.members)}
 
 
 def decode_lease(content: object) -> LeaseRecord:
-    """Return the record; raise `ConfigurationError` when it is malformed."""
+    """Return the record in some content; raise `ConfigurationError` if malformed."""
     try:
         fields = read_mapping(content, "the record")
         members = read_list(fields.get("members", []), "members")
--- a/swiftpin/keyranges/lease_store.py
+++ b/swiftpin/keyranges/lease_store.py
@@ -1,4 +1,4 @@
-"""The record of the lease in the store."""
+"""Reading and writing of the lease's record in the store."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
 
 
 class LeaseWriteOutcome(Enum):
-    """What became of a write."""
+    """The outcome of a write."""
 
     WRITTEN = auto()
     UNKNOWN = auto()
-    """It may stand, now or later, or not."""
+    """The write may have been applied, may be applied later, or not at all."""
 
     HELD_BY_OTHER = auto()
-    """Another holder's record stands."""
+    """The store has the record of another holder."""
 
 
 class LeaseStore:
-    """Reads the record, and replaces it if it is still the one last seen."""
+    """Reads the record, and replaces it if it still has the last known revision."""
 
     def __init__(
         self,
@@ -44,28 +44,30 @@
         on_record: Callable[[LeaseRecord], None],
     ) -> None:
         self.record: LeaseRecord | None = None
-        """The record last seen, of whichever holder."""
+        """The last known record, of any holder."""
 
         self.unchanged_since = 0.0
-        """Since when the record has been the same, as far as is known here."""
+        """Time since which the record is known to be unchanged."""
 
         self.attempted_members: tuple[str, ...] = ()
-        """Members that the last write named, whether or not it stands."""
+        """Members in the last attempted write, whether or not it was applied."""
 
         self._client = client
         self._health = health
         self._on_record = on_record
         self._revision: int | None = None
         self._era_without_record: int | None = None
-        """Era in which there was no record last."""
+        """Last era in which no record was found."""
 
         self._attempt = (0, 0)
+        """Term and renewal of the last attempted write."""
+
         self._attempted_at = 0.0
-        """Term and renewal last attempted, and since when that may stand."""
+        """Time since which that write may have been applied."""
 
     @property
     def era(self) -> int:
-        """Return the newest era of the store that an answer told."""
+        """Return the newest store era reported in an answer."""
         return self._client.era.newest
 
     @property
@@ -100,11 +102,11 @@
             self.unchanged_since = now
             self._note_record(record)
         else:
-            # No try was carried out until then.
+            # No attempt had been applied by then.
             self._attempted_at = max(self._attempted_at, asked_at)
 
     async def async_write(self, record: LeaseRecord) -> LeaseWriteOutcome:
-        """Write a record of this instance's own."""
+        """Write a record that names this instance as the holder."""
         sent_at = suspend_aware_now()
         if self._attempt != (record.term, record.renewal):
             self._attempt = (record.term, record.renewal)
@@ -125,7 +127,7 @@
         return LeaseWriteOutcome.WRITTEN
 
     async def async_write_final(self, record: LeaseRecord) -> None:
-        """Write a record after which this instance writes none; raise `StoreError`."""
+        """Write this instance's final record; raise `StoreError` if that fails."""
         await self._client.async_replace(
             KIND_LEASE, NAME_LEASE, encode_lease(record), self._revision
         )
@@ -144,11 +146,12 @@
     async def _async_read_back(
         self, record: LeaseRecord, reason: str
     ) -> LeaseWriteOutcome:
-        """Read back whether a write stands whose answer was lost or a conflict.
+        """Read the record back after a lost answer or a conflict.
 
-        A write whose answer was lost may meet its own effect as a conflict at the
-        next try; only the record itself tells. It may be the effect of the first of
-        equal tries: candidates may have counted from then, and so does the lease.
+        If the answer to a write was lost, the next attempt may conflict with its
+        effect; only the record itself shows which. The record may result from the
+        first of several equal attempts, and candidates may measure the lease's age from
+        then. So the lease counts from the first attempt too.
         """
         log_message(message_type="lease_unsettled", reason=reason, term=record.term)
         try:
@@ -159,8 +162,9 @@
         found = self.record
         is_older_copy = self.was_restored if found is None else found.era < self.era
         if is_older_copy:
-            # It may lack this instance's own record. Nobody else can take the lease
-            # while it runs: all wait out whoever the copy hides.
+            # The restored store may have lost this instance's record. No other instance
+            # takes the lease while it is valid: after a restore, all wait until every
+            # lease that the store may have lost has expired.
             return LeaseWriteOutcome.UNKNOWN
         if found is None or found.holder != record.holder or found.term > record.term:
             return LeaseWriteOutcome.HELD_BY_OTHER
@@ -171,7 +175,7 @@
 
     @callback
     def _note_record(self, record: LeaseRecord) -> None:
-        """Take a record that was read or written."""
+        """Update the last known record after a read or a write."""
         previous = self.record
         self.record = record
         if previous is None or (previous.holder, previous.term) != (
@@ -188,7 +192,7 @@
 
     @callback
     def _note_written(self, record: LeaseRecord, sent_at: float) -> None:
-        """Note that a record of this instance's own was written."""
+        """Note that a record of this instance was written."""
         self._health.note_answer(suspend_aware_now())
         self._note_record(record)
         self.unchanged_since = sent_at
--- a/swiftpin/keyranges/range_assigner.py
+++ b/swiftpin/keyranges/range_assigner.py
@@ -1,4 +1,4 @@
-"""Keeping of one service's keys by the instance that holds the lease."""
+"""Assignment of one service's keys by the instance that holds the lease."""
 
 from __future__ import annotations
 
@@ -39,19 +39,21 @@
 
 MAX_MERGED_SEGMENTS: Final = 24
 MIN_MERGED_SEGMENTS: Final = 6
-"""Neighbouring segments that are joined at a time, and for which alone the record is
-written: each segment is a grant to renew, each write of the record is paid for."""
+"""Maximum number of merged segments per plan, and minimum number for which the record
+is written if there are no moves. Each segment is a grant to renew, and each write of
+the record has a cost."""
 
 COLD_CAPACITY_SHARE: Final = 0.5
-"""Part of its capacity that a target has in the seconds after its start."""
+"""Share of its capacity that a target has in the seconds after its start."""
 
 
 class RangeAssigner:
-    """Grants a service's keys, renews the grants and moves keys where load is.
+    """Grants a service's keys, renews the grants and moves keys to balance the load.
 
-    A move is recorded first, then the former owner's answer to a release is awaited, or
-    the end of what it was granted, and only then is the new owner granted. So no
-    successor can miss a target that may hold keys, and no two targets hold the same.
+    A move is recorded first. Then the assigner waits until the former owner has
+    answered a release or its grants have expired, and only then grants the keys to the
+    new owner. So a successor knows of every target that may hold keys, and no two
+    targets hold the same keys.
     """
 
     def __init__(
@@ -132,7 +134,7 @@
         )
 
     async def async_run(self) -> None:
-        """Keep the keys until cancelled."""
+        """Assign the keys until cancelled."""
         try:
             await self._async_load()
             async with asyncio.TaskGroup() as group:
@@ -143,13 +145,13 @@
             self._publisher.unload()
 
     async def _async_load(self) -> None:
-        """Begin where the former assigner ended, or with a first division."""
+        """Load the previous assigner's assignment, or create the first one."""
         assignment = await self._loader.async_load(self._took_over_at)
         self._state.assignment = assignment
         for segment in assignment.segments:
             if segment.former:
-                # The former assigner may have sent a release for it, which arrived
-                # when the kernel gave up on it at the latest.
+                # The previous assigner may have sent a release for this move. It can't
+                # arrive later than the time at which the kernel stops delivering it.
                 self._moves.start(segment, self._took_over_at + CONTROL_TIMEOUT)
             elif not self._loader.is_new_assignment:
                 self._state.granted_fences.add(segment.fence)
@@ -157,7 +159,7 @@
 
     @callback
     def _usual_hold(self) -> float:
-        """Return the seconds for which grants are given at rest."""
+        """Return the duration of a grant to a target that answers, in seconds."""
         present = self._state.present
         return self._hold_limit.next_hold(
             len(present.segments), present.longest_hold, suspend_aware_now()
@@ -166,7 +168,7 @@
     # Planning.
 
     async def _async_plan(self) -> None:
-        """Look at the load again and again, and move keys."""
+        """Plan moves periodically."""
         while True:
             await asyncio.sleep(PLAN_INTERVAL)
             now = suspend_aware_now()
@@ -181,13 +183,14 @@
 
     @callback
     def _may_miss_live_owners(self, now: float) -> bool:
-        """Return whether an owner may be alive though its entry is missing.
+        """Return whether an owner may be alive although its entry is missing.
 
-        The first list after a start may have been read right after an outage of the
-        store. Its missing targets would count as gone and their keys be moved, with no
-        address to release them at: most keys were without an owner for 5 s. To wait
-        with the lease itself until the list is sure would leave all keys without
-        renewals for 2.3 s after a restart of all instances.
+        The first list of targets after a start may have been read right after a store
+        outage. Targets missing from it would be considered gone and their keys moved,
+        with no address to send the releases to; this left most keys without an owner
+        for 5 s. Waiting for a reliable list before acquiring the lease is no
+        alternative: after a restart of all instances, no grant would be renewed for
+        2.3 s.
         """
         if self._directory.knows_targets(now):
             return False
@@ -197,7 +200,7 @@
 
     @callback
     def _prune_state(self, now: float) -> None:
-        """Drop what is known of lives that are gone: each start brings a new one."""
+        """Remove the state of target lives that are gone; each start adds a new one."""
         involved = self._state.involved_targets()
         self._sessions.forget(involved, now)
         self._state.prune_granted_fences()
@@ -233,9 +236,9 @@
         planned = replace(planned, longest_hold=limit)
         if not await self._record.async_replace(planned):
             return
-        # The owner holds all keys of a joined segment under their earlier fences.
+        # The owner already holds all keys of a merged segment, under earlier fences.
         self._state.granted_fences.update(merged_fences)
-        # Moves that ended while the record was written are not lost by this.
+        # Keep the completion of moves that finished while the record was written.
         self._state.assignment = planned.without_finished_moves(self._state.present)
         self._log_moves(moves, first_fence)
         for segment in self._state.present.segments:
@@ -245,7 +248,7 @@
 
     @callback
     def _capacities(self, now: float) -> dict[str, float]:
-        """Return the requests a second that each eligible target can bear."""
+        """Return the capacity of each eligible target in requests per second."""
         capacities = {}
         for target in self._directory.serving_targets(self._service, now):
             if self._sessions.is_lost(target.id, now):
@@ -260,13 +263,13 @@
 
     @callback
     def _is_cold(self, target: Target, now: float) -> bool:
-        """Return whether a target bears less than usual."""
+        """Return whether a target has reduced capacity after its start."""
         cold_start = self._get_service_spec().cold_start
         return self._directory.cold_left(target, cold_start, now) > 0
 
     @callback
     def _limited_targets(self, now: float) -> set[str]:
-        """Return the targets that bear only the rate of cold ones."""
+        """Return the targets that are limited to the rate of cold targets."""
         if math.isinf(self._get_service_spec().cold_rate):
             return set()
         return {
@@ -277,15 +280,15 @@
 
     @callback
     def _capacity_bounds(self, target_id: str, capacity: float) -> CapacityBounds:
-        """Return between what the capacity of an eligible target certainly lies."""
+        """Return lower and upper bounds of an eligible target's capacity."""
         slots = self._directory.targets_by_id[target_id].slots
         bounds = self.speed.capacity_bounds(target_id, slots)
-        # A target that has just started bears less than it ever showed.
+        # A target that has just started may have less capacity than ever measured.
         return replace(bounds, low=min(bounds.low, capacity))
 
     @callback
     def _log_moves(self, moves: list[Move], first_fence: int) -> None:
-        """Write a line for each planned move."""
+        """Log each planned move."""
         for number, move in enumerate(moves):
             log_message(
                 message_type="move_planned",
