--- a/swiftpin/keyranges/election_rules.py
+++ b/swiftpin/keyranges/election_rules.py
@@ -37,8 +37,7 @@
 """Seconds of delay per core below `SUFFICIENT_STRENGTH`, if there is no record yet."""
 
 ELECTION_DELAY_PER_RANK: Final = 0.03
-"""Seconds of delay per stronger member: the time for a read and a write of the
-store."""
+"""Seconds for each stronger member: a read and a write of the store."""
 
 MAX_DETECTION_TIME: Final = RELAXED_POLL_INTERVAL + 1.2 * POLL_INTERVAL
 """Seconds within which a member notices that the lease is free and polls once more."""
@@ -49,22 +48,22 @@
     """What an instance knows about the lease; times are suspend-aware."""
 
     record: LeaseRecord | None
-    """The last known record, None if there is none."""
+    """The record last read, None before there is one."""
 
     era: int
     """Newest known store era."""
 
     may_have_lost_record: bool
-    """Whether a record may have existed that the store lost."""
+    """Whether the store may have lost a record that was there."""
 
     resigned_term: int
     """Last term in which a holder is known to have stopped assigning keys."""
 
     unchanged_since: float
-    """Time since which the record has been unchanged, or missing."""
+    """Since when the record has not changed, or has been missing."""
 
     own_vote_until: float
-    """Time until which this instance has voted not to take over."""
+    """Until when this instance has voted not to take over."""
 
 
 @callback
--- a/swiftpin/keyranges/lease_election.py
+++ b/swiftpin/keyranges/lease_election.py
@@ -73,7 +73,7 @@
         """Time until which the votes of all members extend this holder's lease."""
 
         self.own_vote_until = 0.0
-        """Time until which this instance has voted not to take over."""
+        """Until when this instance has voted not to take over."""
 
         self.resigned_term = 0
         """Last term in which a holder is known to have stopped assigning keys."""
@@ -183,7 +183,7 @@
             self._health.note_failure(str(err), suspend_aware_now())
 
     async def async_give_up(self) -> None:
-        """Let another instance take over at once; grants remain valid until they end."""
+        """Let another instance take over at once; grants stay valid until they end."""
         self.is_standing_down = True
         record = self.record
         if record is None or not self.is_held(suspend_aware_now()):
