--- a/swiftpin/keyranges/lease_election.py
+++ b/swiftpin/keyranges/lease_election.py
@@ -132,8 +132,10 @@
         These include the members in a renewal whose answer was lost, because it may
         have been written.
         """
-        written = () if self.record is None else self.record.members
-        return frozenset((*written, *self._store.attempted_members)) - {self._name}
+        recorded_members = () if self.record is None else self.record.members
+        return frozenset((*recorded_members, *self._store.attempted_members)) - {
+            self._name
+        }
 
     @callback
     def is_held(self, now: float) -> bool:
@@ -154,14 +156,14 @@
 
     @callback
     def own_resigned_term(self, now: float) -> int:
-        """Return the last term in which this instance has stopped assigning keys."""
+        """Return the last term in which this instance stopped, 0 while it assigns keys."""
         return 0 if self.is_held(now) else self._lapsed_term
 
     @property
     def term(self) -> int:
         """Return the highest known term; a restored store may have a lower one."""
-        seen = 0 if self.record is None else self.record.term
-        return max(seen, self._held_term)
+        known_term = 0 if self.record is None else self.record.term
+        return max(known_term, self._held_term)
 
     async def async_run(self) -> None:
         """Renew the lease, or wait to acquire it, until cancelled."""
@@ -190,7 +192,7 @@
             return
         self._lapsed_term = self._held_term
         log_message(message_type="lease_given_up", term=self.term)
-        free = LeaseRecord(
+        released = LeaseRecord(
             holder="",
             peer="",
             term=self.term,
@@ -199,7 +201,7 @@
             members=record.members,
         )
         try:
-            await self._store.async_write_final(free)
+            await self._store.async_write_final(released)
         except StoreError as err:
             # The next holder then has to wait until the lease has expired.
             log_message(message_type="lease_not_freed", level="warning", error=str(err))
--- a/swiftpin/keyranges/lease_store.py
+++ b/swiftpin/keyranges/lease_store.py
@@ -77,7 +77,7 @@
 
     async def async_read(self) -> None:
         """Read the lease and note whether it changed; raise `StoreError`."""
-        asked_at = suspend_aware_now()
+        requested_at = suspend_aware_now()
         try:
             found = await self._client.async_get(
                 KIND_LEASE, NAME_LEASE, limit=LEASE_CALL_TIMEOUT
@@ -103,7 +103,7 @@
             self._note_record(record)
         else:
             # No attempt had been applied by then.
-            self._attempted_at = max(self._attempted_at, asked_at)
+            self._attempted_at = max(self._attempted_at, requested_at)
 
     async def async_write(self, record: LeaseRecord) -> LeaseWriteOutcome:
         """Write a record that names this instance as the holder."""
@@ -160,8 +160,8 @@
             self._health.note_failure(str(err), suspend_aware_now())
             return LeaseWriteOutcome.UNKNOWN
         found = self.record
-        is_older_copy = self.was_restored if found is None else found.era < self.era
-        if is_older_copy:
+        is_restored_copy = self.was_restored if found is None else found.era < self.era
+        if is_restored_copy:
             # The restored store may have lost this instance's record. No other instance
             # takes the lease while it is valid: after a restore, all wait until every
             # lease that the store may have lost has expired.
--- a/tests/keyranges/test_assignment_loader.py
+++ b/tests/keyranges/test_assignment_loader.py
@@ -129,7 +129,7 @@
     record: FakeRecord, make_loader: Callable[[], AssignmentLoader]
 ) -> None:
     """An unreadable record is not mistaken for a missing one."""
-    record.errors = [StoreUnavailableError("away") for _ in range(3)]
+    record.errors = [StoreUnavailableError("unavailable") for _ in range(3)]
     record.assignment = Assignment(
         segments=(Segment(first=0, last=65535, owner="a@1", fence=5),)
     )
--- a/tests/keyranges/test_lease_election.py
+++ b/tests/keyranges/test_lease_election.py
@@ -86,7 +86,7 @@
 
     def _check(self) -> None:
         if self.is_unavailable:
-            raise StoreUnavailableError("away")
+            raise StoreUnavailableError("unavailable")
         self.era.note(era_of(self.revision))
 
     def _write(self, content: object) -> int:
@@ -111,7 +111,7 @@
         name=name,
         incarnation=f"{name}/1",
         peer="127.0.0.1:1",
-        client=store,  # type: ignore[arg-type]  # the calls that are made
+        client=store,  # type: ignore[arg-type]  # fake with the calls made
         health=StoreHealth(),
         rng=Random(1),
         strength=2.0,
