--- a/swiftpin/keyranges/lease_election.py
+++ b/swiftpin/keyranges/lease_election.py
@@ -156,7 +156,7 @@
 
     @callback
     def own_resigned_term(self, now: float) -> int:
-        """Return the last term in which this instance stopped, 0 while it assigns keys."""
+        """Return the last term that this instance resigned, 0 while it assigns keys."""
         return 0 if self.is_held(now) else self._lapsed_term
 
     @property
