--- a/swiftpin/router/configuration_holder.py
+++ b/swiftpin/router/configuration_holder.py
@@ -13,26 +13,26 @@
 
 from swiftpin.core import callback
 from swiftpin.exceptions import ConfigurationError
-from swiftpin.helpers.slices import run_slice
+from swiftpin.helpers.time_slices import run_time_slice
 from swiftpin.model.configuration import Configuration
-from swiftpin.platform.configuration import decode_in_steps
+from swiftpin.platform.configuration import decode_configuration
 from swiftpin.platform.json_fields import FieldError, load_json
 from swiftpin.platform.names import NAME_CONFIGURATION
 from swiftpin.platform.platform_object import PlatformObject
 from swiftpin.router.configuration_lag import ConfigurationLag
 
-PACKING_LEVEL: Final = 1
+COMPRESSION_LEVEL: Final = 1
 """Level of zlib's compression; higher ones take longer and save little of JSON."""
 
 Decoding = Generator[None, None, Configuration]
 """A configuration that is being decoded."""
 
-LARGEST_DOCUMENT: Final = 64 * 1024 * 1024
+MAX_DOCUMENT_BYTES: Final = 64 * 1024 * 1024
 """Bytes of a configuration at most that is unpacked."""
 
 
 @callback
-def _ignore() -> None:
+def _noop() -> None:
     """Do nothing."""
 
 
@@ -42,7 +42,7 @@
 
     name: str
     packed: bytes = b""
-    on_done: Callable[[], None] = _ignore
+    on_done: Callable[[], None] = _noop
     """Called when it is in force or refused."""
 
 
@@ -56,7 +56,7 @@
         self.packed = b""
         """What the version in force was read from, for neighbours."""
 
-        self.on_change: Callable[[], None] = _ignore
+        self.on_change: Callable[[], None] = _noop
 
     @property
     def version(self) -> int:
@@ -64,7 +64,7 @@
         return 0 if self.current is None else self.current.version
 
     @callback
-    def note_told(self, version: int, now: float) -> None:
+    def note_announced_version(self, version: int, now: float) -> None:
         """Note that another instance has a version in force."""
         self.lag.note_told(version, self.version, now)
 
@@ -102,32 +102,32 @@
 
         `on_done` is called when it is in force or refused.
         """
-        source = _Source(name="neighbour", packed=packed, on_done=on_done or _ignore)
+        source = _Source(name="neighbour", packed=packed, on_done=on_done or _noop)
         try:
-            document = load_json(_unpack(packed))
+            document = load_json(_decompress(packed))
         except (FieldError, zlib.error) as err:
-            self._refuse(source, str(err))
+            self._reject(source, str(err))
             return
-        self._decode(decode_in_steps(document), source, now)
+        self._decode(decode_configuration(document), source, now)
 
     @callback
     def _adopt_stored(self, document: object, now: float) -> None:
         """Take the configuration that the store holds."""
         try:
-            packed = _pack(document)
+            packed = _compress(document)
         except ConfigurationError as err:
-            self._refuse(_Source(name="store"), str(err))
+            self._reject(_Source(name="store"), str(err))
             return
         source = _Source(name="store", packed=packed)
-        self._decode(decode_in_steps(document), source, now)
+        self._decode(decode_configuration(document), source, now)
 
     @callback
     def _decode(self, decoding: Decoding, source: _Source, now: float) -> None:
         """Go on with decoding; a long document lets others go on in between."""
         try:
-            done = run_slice(decoding)
+            done = run_time_slice(decoding)
         except ConfigurationError as err:
-            self._refuse(source, str(err))
+            self._reject(source, str(err))
             return
         if done is None:
             loop = asyncio.get_running_loop()
@@ -137,7 +137,7 @@
         source.on_done()
 
     @callback
-    def _refuse(self, source: _Source, error: str) -> None:
+    def _reject(self, source: _Source, error: str) -> None:
         """Note a configuration that can't be read; the one in force stays."""
         log_message(
             message_type="configuration_refused",
@@ -174,15 +174,15 @@
 
 
 @callback
-def _pack(document: object) -> bytes:
+def _compress(document: object) -> bytes:
     """Return a document for neighbours; raise `ConfigurationError` if it can't be."""
     try:
-        return zlib.compress(orjson.dumps(document), PACKING_LEVEL)
+        return zlib.compress(orjson.dumps(document), COMPRESSION_LEVEL)
     except TypeError as err:
         raise ConfigurationError(f"configuration: {err}") from err
 
 
 @callback
-def _unpack(packed: bytes) -> bytes:
+def _decompress(packed: bytes) -> bytes:
     """Return what a neighbour packed; raise `zlib.error` if it is not readable."""
-    return zlib.decompressobj().decompress(packed, LARGEST_DOCUMENT)
+    return zlib.decompressobj().decompress(packed, MAX_DOCUMENT_BYTES)
--- a/swiftpin/router/known_leader.py
+++ b/swiftpin/router/known_leader.py
@@ -9,7 +9,7 @@
 from swiftpin.fleet.proto import fleet_pb2 as pb
 from swiftpin.keyranges.lease_record import LeaseRecord
 
-LEADER_SILENCE: Final = 0.65
+LEADER_HEARTBEAT_TIMEOUT: Final = 0.65
 """Seconds without a heartbeat after which candidates begin to look at the lease;
 with one heartbeat late nothing is lost but some reads."""
 
@@ -22,13 +22,13 @@
         self._links = links
 
     @callback
-    def note_record(self, record: LeaseRecord) -> None:
+    def adopt_record(self, record: LeaseRecord) -> None:
         """Take a record that was read or written in the store."""
         if (record.term, record.renewal) >= (self.record.term, self.record.renewal):
             self.record = record
 
     @callback
-    def note_heartbeat(self, heartbeat: pb.Heartbeat) -> None:
+    def adopt_heartbeat(self, heartbeat: pb.Heartbeat) -> None:
         """Take what another instance knows, if its term is newer."""
         if heartbeat.term <= self.record.term:
             return
@@ -40,7 +40,7 @@
         )
 
     @callback
-    def is_heard(self, term: int, now: float) -> bool:
+    def is_holder_alive(self, term: int, now: float) -> bool:
         """Return whether another instance says that it holds the lease, since a term.
 
         `now` is on the event loop's clock, as the times of links are.
@@ -49,6 +49,6 @@
             link.heartbeat is not None
             and link.heartbeat.leads
             and link.heartbeat.term >= term
-            and now - link.heard_at < LEADER_SILENCE
+            and now - link.last_received_at < LEADER_HEARTBEAT_TIMEOUT
             for link in self._links.live_links()
         )
--- a/tests/keyranges/test_late_renewals.py
+++ b/tests/keyranges/test_late_renewals.py
@@ -155,7 +155,7 @@
     )
     services = {"desk": SimpleNamespace(health_path="/health")}
     configuration = cast(Configuration, SimpleNamespace(services_by_name=services))
-    bounds = SimpleNamespace(longest_hold=10.0)
+    bounds = SimpleNamespace(max_hold=10.0)
     factory = AssignerFactory(
         settings=cast(InstanceSettings, SimpleNamespace(bounds=bounds)),
         client=cast(StoreClient, store),
@@ -165,7 +165,7 @@
         lease=lease,
         health=health,
         permits=PermitBroker("a/1", "z"),
-        key_maps=cast(KeyMapSharing, SimpleNamespace(hand_out=lambda key_map: None)),
+        key_maps=cast(KeyMapSharing, SimpleNamespace(publish=lambda key_map: None)),
     )
     lease.note_willing()
     await lease._async_poll(suspend_aware_now())
--- a/tests/router/test_gossip.py
+++ b/tests/router/test_gossip.py
@@ -14,9 +14,9 @@
 from swiftpin.fleet.proto import fleet_pb2 as pb
 from swiftpin.router.configuration_holder import ConfigurationHolder
 from swiftpin.router.configuration_lag import ConfigurationLag
-from swiftpin.router.document_ask import ANSWER_LIMIT
+from swiftpin.router.document_requester import ANSWER_TIMEOUT
 from swiftpin.router.gossip import Gossip
-from swiftpin.router.holder_view import HOLDER_CATCH_UP
+from swiftpin.router.holder_view import HOLDER_CATCH_UP_TIME
 from tests.router.fleet_fakes import FakeLink
 
 
@@ -75,9 +75,9 @@
 
 def ask_again(gossip: Gossip) -> None:
     """Let a gossip that is behind ask now, though nobody answers."""
-    gossip._targets_ask._behind_since = -1.0
-    gossip._targets_ask._asked_at -= ANSWER_LIMIT
-    gossip.ask()
+    gossip._targets_requester._behind_since = -1.0
+    gossip._targets_requester._requested_at -= ANSWER_TIMEOUT
+    gossip.request_updates()
 
 
 async def test_frozen_neighbour_does_not_keep_others_from_being_asked(
@@ -90,7 +90,7 @@
     among the links was asked.
     """
     frozen, heard = make_link("frozen", 12), make_link("heard", 12)
-    frozen.heard_at -= 1.0
+    frozen.last_received_at -= 1.0
     links.live_links = lambda: [frozen, heard]
     ask_again(gossip)
     ask_again(gossip)
@@ -129,14 +129,14 @@
     assert lost.heartbeat is not None
     lost.heartbeat.store_lost = True
     links.live_links = lambda: [lost]
-    gossip.ask()
-    assert not gossip.holder.is_confirmed()
+    gossip.request_updates()
+    assert not gossip.holder_view.is_confirmed()
     assert not confirmed
     lost.heartbeat.store_lost = False
-    gossip.ask()
-    gossip.holder._informed_since -= HOLDER_CATCH_UP
-    gossip.ask()
-    assert gossip.holder.is_confirmed()
+    gossip.request_updates()
+    gossip.holder_view._connected_since -= HOLDER_CATCH_UP_TIME
+    gossip.request_updates()
+    assert gossip.holder_view.is_confirmed()
     assert len(confirmed) == 1
 
 
@@ -155,9 +155,9 @@
     links.live_links = lambda: [holder]
     for is_lost in (False, True, False):
         holder.heartbeat.store_lost = is_lost
-        gossip.holder._informed_since -= HOLDER_CATCH_UP
-        gossip.ask()
-        assert not gossip.holder.is_confirmed()
+        gossip.holder_view._connected_since -= HOLDER_CATCH_UP_TIME
+        gossip.request_updates()
+        assert not gossip.holder_view.is_confirmed()
 
 
 async def test_members_do_not_confirm_each_other(
@@ -170,8 +170,8 @@
     """
     directory.note_confirmed = pytest.fail
     links.live_links = lambda: [make_link("a", 10), make_link("b", 10)]
-    gossip.ask()
-    assert not gossip.holder.is_confirmed()
+    gossip.request_updates()
+    assert not gossip.holder_view.is_confirmed()
 
 
 async def test_holder_that_knows_more_does_not_confirm(
@@ -180,7 +180,7 @@
     """What it knows beyond this instance may be a target that left."""
     directory.note_confirmed = pytest.fail
     links.live_links = lambda: [make_holder(12)]
-    gossip.ask()
+    gossip.request_updates()
 
 
 async def test_each_loss_and_return_at_a_neighbour_is_counted(
@@ -194,8 +194,8 @@
     counts = []
     for is_lost in (False, True, True, False):
         link.heartbeat.store_lost = is_lost
-        gossip.ask()
-        counts.append(gossip.holder.store_reports)
+        gossip.request_updates()
+        counts.append(gossip.holder_view.store_reports)
     assert counts == [0, 1, 1, 2]
 
 
@@ -213,7 +213,7 @@
         link.heartbeat.maps_term = link.heartbeat.maps_number = 1
     links.live_links = lambda: neighbours
     for _ in neighbours:
-        gossip.note_heartbeat()
+        gossip.handle_heartbeat()
     assert asked == ["key_map_ask"]
 
 
@@ -231,7 +231,7 @@
     links.live_links = lambda: [link]
     if is_lost:
         gossip._health.note_failure("silent", 1.0)
-    gossip.ask()
+    gossip.request_updates()
     assert gossip._configuration.lag.has_source is has_source
 
 
@@ -244,7 +244,7 @@
     not know. Cause: nothing caught the error.
     """
     directory.adopt_update = pytest.fail
-    gossip.take_targets(pb.Update(targets=b'[{"name": 3}]', targets_revision=12))
+    gossip.handle_targets(pb.Update(targets=b'[{"name": 3}]', targets_revision=12))
 
 
 @pytest.mark.parametrize(("told", "answers"), [(9, 1), (10, 0)])
@@ -255,7 +255,7 @@
     directory.present_targets = list
     directory.targets_since = lambda revision, now: []
     link = FakeLink("a", targets=told)
-    gossip.give_targets(link, pb.UpdateAsk(targets=8))
+    gossip.send_targets(link, pb.UpdateAsk(targets=8))
     assert [item.WhichOneof("body") for item in link.sent] == ["update"] * answers
 
 
@@ -267,6 +267,6 @@
     known = SimpleNamespace(version=5, packed=b"x")
     gossip._configuration = cast(ConfigurationHolder, known)
     link = FakeLink("a", configuration=told)
-    gossip.give_configuration(link, pb.ConfigurationAsk(version=3))
+    gossip.send_configuration(link, pb.ConfigurationAsk(version=3))
     kinds = [item.WhichOneof("body") for item in link.sent]
     assert kinds == ["configuration"] * answers
--- a/tests/router/test_silent_watches.py
+++ b/tests/router/test_silent_watches.py
@@ -5,11 +5,11 @@
 from typing import Final
 
 from swiftpin.discovery.store_follower import UNCONFIRMED_GRACE, UNCONFIRMED_WAIT
-from swiftpin.fleet.link import LONGEST_HEARTBEAT_INTERVAL
+from swiftpin.fleet.link import MAX_HEARTBEAT_INTERVAL
 from swiftpin.helpers.clock import suspend_aware_now
 from tests.router.site import Site
 
-LEARNING_TIME: Final = UNCONFIRMED_WAIT + UNCONFIRMED_GRACE + LONGEST_HEARTBEAT_INTERVAL
+LEARNING_TIME: Final = UNCONFIRMED_WAIT + UNCONFIRMED_GRACE + MAX_HEARTBEAT_INTERVAL
 """Seconds within which the holder of the lease learns of a change and tells it."""
 
 SLACK: Final = 3.0
@@ -26,7 +26,7 @@
     store = site.store
     await site.async_wait(
         lambda: all(
-            router._fleet.gossip.holder.is_confirmed()
+            router._fleet.gossip.holder_view.is_confirmed()
             or router._lease.is_held(suspend_aware_now())
             for router in site.routers_by_name.values()
         )
