--- a/swiftpin/bench/decisions/key_owners.py
+++ b/swiftpin/bench/decisions/key_owners.py
@@ -10,7 +10,7 @@
 
 from swiftpin.bench.decisions.event_queue import EventQueue
 from swiftpin.bench.decisions.modelled_target import ModelledTarget
-from swiftpin.keyranges.assignment import divide_evenly
+from swiftpin.keyranges.assignment import divide_by_weight
 from swiftpin.keyranges.const import PLAN_INTERVAL
 from swiftpin.keyranges.key_load import KeyLoad
 from swiftpin.keyranges.planner import plan_moves
@@ -45,7 +45,7 @@
         self._targets_by_name = targets_by_name
         self._clock = clock
         self._fence = 1
-        self._assignment = divide_evenly(dict.fromkeys(targets_by_name, 1.0), 0)
+        self._assignment = divide_by_weight(dict.fromkeys(targets_by_name, 1.0), 0)
         self._held = self._assignment
         self._known = self._assignment
         for target in targets_by_name.values():
@@ -105,7 +105,9 @@
         moves = plan_moves(
             before, capacities, self.load.rates_by_key, bounds, limited=limited
         )
-        joined, joined_fences = before.with_joined(self._fence, MAX_MERGED_SEGMENTS)
+        joined, joined_fences = before.with_merged_neighbours(
+            self._fence, MAX_MERGED_SEGMENTS
+        )
         if not moves and len(joined_fences) < MIN_MERGED_SEGMENTS:
             return
         first_fence = self._fence + len(joined_fences)
--- a/swiftpin/bench/decisions/play.py
+++ b/swiftpin/bench/decisions/play.py
@@ -20,7 +20,7 @@
     SlowTargets,
     Trouble,
 )
-from swiftpin.keyranges.const import KEYS
+from swiftpin.keyranges.const import KEY_COUNT
 
 CALLER_TIME: Final = 0.003
 """Seconds from a caller to an instance, and back."""
@@ -43,13 +43,13 @@
             shape.name: ModelledRouter(shape, self._clock)
             for shape in scenario.services
         }
-        self._keys = [self._rng.randrange(KEYS) for _ in range(BUSY_KEYS)]
+        self._keys = [self._rng.randrange(KEY_COUNT) for _ in range(BUSY_KEYS)]
         hot = [trouble for trouble in scenario.troubles if isinstance(trouble, HotKey)]
         # One is drawn also for a load without hot keys, whose requests would else be
         # others than those that recorded seeds stand for.
-        drawn = [self._rng.randrange(KEYS) for _ in range(max(len(hot), 1))]
+        drawn = [self._rng.randrange(KEY_COUNT) for _ in range(max(len(hot), 1))]
         self._first_keys_by_trouble = {
-            trouble: min(key, KEYS - trouble.count)
+            trouble: min(key, KEY_COUNT - trouble.count)
             for trouble, key in zip(hot, drawn, strict=False)
         }
         self._hot_by_service: dict[str, list[HotKey]] = defaultdict(list)
@@ -80,7 +80,7 @@
             judged,
             self._most_at_cold_targets(),
             sum(owner.moves for owner in owners),
-            sum(owner.moved_keys for owner in owners) / KEYS,
+            sum(owner.moved_keys for owner in owners) / KEY_COUNT,
         )
 
     def _most_at_cold_targets(self) -> int:
--- a/swiftpin/keyranges/assignment.py
+++ b/swiftpin/keyranges/assignment.py
@@ -8,7 +8,7 @@
 from typing import Any, Final
 
 from swiftpin.exceptions import ConfigurationError
-from swiftpin.keyranges.const import KEYS
+from swiftpin.keyranges.const import KEY_COUNT
 from swiftpin.keyranges.move import Move
 from swiftpin.keyranges.segment import Segment
 from swiftpin.platform.json_fields import (
@@ -24,7 +24,7 @@
 ROW_LENGTH: Final = 4
 """Number of values in a row: first key, owner, fence, former owner."""
 
-ATTR_LONGEST_HOLD: Final = "longest_grant_ms"
+ATTR_MAX_HOLD: Final = "longest_grant_ms"
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -32,7 +32,7 @@
     """Segments that cover all keys, in key order."""
 
     segments: tuple[Segment, ...]
-    longest_hold: float | None = None
+    max_hold: float | None = None
     """Duration in seconds of the longest grant that may still be valid. None if the
     record was written by a version that doesn't store it."""
 
@@ -59,7 +59,9 @@
             next_fence += 1
         return replace(self, segments=tuple(segments))
 
-    def with_joined(self, next_fence: int, most: int) -> tuple[Assignment, list[int]]:
+    def with_merged_neighbours(
+        self, next_fence: int, max_merged: int
+    ) -> tuple[Assignment, list[int]]:
         """Merge neighbouring segments of the same owner.
 
         Return the assignment and the new fences, one per merged segment and at most
@@ -78,7 +80,7 @@
                 joined.append(segment)
             elif fences and last.fence == fences[-1]:
                 joined[-1] = replace(last, last=segment.last)
-            elif len(fences) < most:
+            elif len(fences) < max_merged:
                 fences.append(next_fence + len(fences))
                 joined[-1] = replace(last, last=segment.last, fence=fences[-1])
             else:
@@ -132,10 +134,10 @@
     return result
 
 
-def divide_evenly(
+def divide_by_weight(
     weights_by_target: dict[str, float],
     fence: int,
-    longest_hold: float | None = None,
+    max_hold: float | None = None,
 ) -> Assignment:
     """Return an initial assignment with ranges in proportion to the weights."""
     total = sum(weights_by_target.values())
@@ -144,12 +146,12 @@
     cumulative_weight = 0.0
     for target, weight in sorted(weights_by_target.items()):
         cumulative_weight += weight
-        end = round(KEYS * cumulative_weight / total)
+        end = round(KEY_COUNT * cumulative_weight / total)
         if end <= first:
             continue
         segments.append(Segment(first=first, last=end - 1, owner=target, fence=fence))
         first = end
-    return Assignment(segments=tuple(segments), longest_hold=longest_hold)
+    return Assignment(segments=tuple(segments), max_hold=max_hold)
 
 
 def encode_assignment(assignment: Assignment) -> dict[str, Any]:
@@ -161,10 +163,8 @@
         former = numbers.setdefault(segment.former, len(numbers))
         rows.append([segment.first, owner, segment.fence, former])
     content: dict[str, Any] = {"targets": list(numbers), "rows": rows}
-    if assignment.longest_hold is not None:
-        content[ATTR_LONGEST_HOLD] = round(
-            assignment.longest_hold * MILLISECONDS_PER_SECOND
-        )
+    if assignment.max_hold is not None:
+        content[ATTR_MAX_HOLD] = round(assignment.max_hold * MILLISECONDS_PER_SECOND)
     return content
 
 
@@ -176,14 +176,12 @@
         rows = read_list(read_field(fields, "rows"), "rows")
         names = [read_string(name, "a target", may_be_empty=True) for name in targets]
         starts = [_decode_row(row, names) for row in rows]
-        longest_hold = None
-        if ATTR_LONGEST_HOLD in fields:
-            longest_hold = read_integer(fields[ATTR_LONGEST_HOLD], ATTR_LONGEST_HOLD)
+        max_hold = None
+        if ATTR_MAX_HOLD in fields:
+            max_hold = read_integer(fields[ATTR_MAX_HOLD], ATTR_MAX_HOLD)
         return Assignment(
             segments=_fill_last_keys(starts),
-            longest_hold=None
-            if longest_hold is None
-            else longest_hold / MILLISECONDS_PER_SECOND,
+            max_hold=None if max_hold is None else max_hold / MILLISECONDS_PER_SECOND,
         )
     except FieldError as err:
         raise ConfigurationError(f"record of an assignment: {err}") from err
@@ -194,7 +192,7 @@
     values = read_list(row, "a row")
     if len(values) != ROW_LENGTH:
         raise FieldError("a row has the wrong number of values")
-    first = read_integer(values[0], "the first key", maximum=KEYS - 1)
+    first = read_integer(values[0], "the first key", maximum=KEY_COUNT - 1)
     owner = names[read_integer(values[1], "the owner", maximum=len(names) - 1)]
     former = names[read_integer(values[3], "the former owner", maximum=len(names) - 1)]
     return Segment(
@@ -211,7 +209,7 @@
     firsts = [segment.first for segment in starts]
     if not firsts or firsts[0] != 0 or firsts != sorted(set(firsts)):
         raise FieldError("the rows do not cover each key exactly once")
-    ends = [*firsts[1:], KEYS]
+    ends = [*firsts[1:], KEY_COUNT]
     return tuple(
         replace(segment, last=end - 1)
         for segment, end in zip(starts, ends, strict=True)
--- a/swiftpin/keyranges/assignment_loader.py
+++ b/swiftpin/keyranges/assignment_loader.py
@@ -10,7 +10,7 @@
 from swiftpin.discovery.target_directory import TargetDirectory
 from swiftpin.exceptions import ConfigurationError, StoreError
 from swiftpin.helpers.clock import suspend_aware_now
-from swiftpin.keyranges.assignment import Assignment, divide_evenly
+from swiftpin.keyranges.assignment import Assignment, divide_by_weight
 from swiftpin.keyranges.assignment_record import AssignmentRecord
 from swiftpin.keyranges.const import CONTROL_TIMEOUT
 from swiftpin.keyranges.granter import Granter
@@ -74,7 +74,7 @@
         """
         assignment = await self._record.async_take_over(self._granter.take_fence)
         arrived_at = took_over_at + CONTROL_TIMEOUT
-        hold = self._hold_limit.note_recorded(assignment.longest_hold, arrived_at)
+        hold = self._hold_limit.note_recorded(assignment.max_hold, arrived_at)
         for segment in assignment.segments:
             for target in (segment.owner, segment.former):
                 if target:
@@ -103,7 +103,7 @@
     async def _async_create(self, targets: list[Target]) -> Assignment:
         """Divide the keys among targets and record this first assignment."""
         weights = {target.id: float(target.slots) for target in targets}
-        assignment = divide_evenly(
+        assignment = divide_by_weight(
             weights,
             self._granter.take_fence(),
             self._hold_limit.limit_for_record(0, len(targets), suspend_aware_now()),
--- a/swiftpin/keyranges/assignment_state.py
+++ b/swiftpin/keyranges/assignment_state.py
@@ -18,7 +18,7 @@
         """Recorded fences of segments whose owner has accepted a grant."""
 
     @property
-    def present(self) -> Assignment:
+    def current(self) -> Assignment:
         """Return the assignment; requires that it has been loaded."""
         assert self.assignment is not None
         return self.assignment
@@ -29,27 +29,27 @@
 
         Segments disappear when they are split, merged or moved.
         """
-        if len(self.granted_fences) > 2 * len(self.present.segments):
-            self.granted_fences &= self.present.fences()
+        if len(self.granted_fences) > 2 * len(self.current.segments):
+            self.granted_fences &= self.current.fences()
 
     @callback
     def owners(self) -> set[str]:
         """Return the targets that own keys."""
         return {
-            segment.owner for segment in self.present.segments if not segment.former
+            segment.owner for segment in self.current.segments if not segment.former
         }
 
     @callback
     def involved_targets(self) -> set[str]:
         """Return the targets that own keys, including both sides of each move."""
-        segments = self.present.segments
+        segments = self.current.segments
         involved = {segment.owner for segment in segments}
         return (involved | {segment.former for segment in segments}) - {""}
 
     @callback
-    def stands(self, segment: Segment) -> bool:
+    def is_unchanged(self, segment: Segment) -> bool:
         """Return whether a segment is still part of the assignment.
 
         One that has been split, merged or moved since must not be granted again.
         """
-        return self.present.segment_of(segment.first) == segment
+        return self.current.segment_of(segment.first) == segment
--- a/swiftpin/keyranges/const.py
+++ b/swiftpin/keyranges/const.py
@@ -4,7 +4,7 @@
 
 from typing import Final
 
-KEYS: Final = 65536
+KEY_COUNT: Final = 65536
 """Number of keys; keys are numbered from 0."""
 
 KIND_LEASE: Final = "swiftpin-lease"
@@ -31,7 +31,7 @@
 lease expires if the answer is lost; a store slowed down by a factor of 100 takes
 0.4 s."""
 
-VOTE_TIME: Final = 2.0
+VOTE_DURATION: Final = 2.0
 """Seconds after a vote during which a member doesn't take the lease. Several heartbeats
 fit in."""
 
@@ -52,10 +52,10 @@
 in time. Not much more: the keys of a target that stops answering are not served until
 its grant has expired."""
 
-HOLD_TIME: Final = MIN_RENEW_INTERVAL + HOLD_BEYOND_RENEWAL
+MIN_REGULAR_HOLD: Final = MIN_RENEW_INTERVAL + HOLD_BEYOND_RENEWAL
 """Duration of a grant in small services, in seconds."""
 
-CLOCK_DRIFT: Final = 1.03
+CLOCK_DRIFT_FACTOR: Final = 1.03
 """Factor by which a grant may last longer on a target's clock, which may run 2%
 slow."""
 
@@ -75,5 +75,5 @@
 PLAN_INTERVAL: Final = 0.15
 """Seconds between two planning runs; hot keys change within seconds."""
 
-SHORTEST_HOLD: Final = 0.2
+MIN_HOLD: Final = 0.2
 """Minimum duration of a grant, in seconds; a shorter one is not worth a call."""
--- a/swiftpin/keyranges/election_rules.py
+++ b/swiftpin/keyranges/election_rules.py
@@ -29,7 +29,7 @@
 """Seconds between two such reads while other instances are heard, which report a new
 holder. In a fleet of hundreds, all instances start to read when a holder is lost."""
 
-SUFFICIENT_STRENGTH: Final = 1.5
+SUFFICIENT_CPU_CAPACITY: Final = 1.5
 """Strength, in standard cores, that is sufficient to assign the keys of hundreds of
 targets."""
 
@@ -99,7 +99,7 @@
 
 @callback
 def poll_interval(
-    view: LeaseView, name: str, strength: float, *, is_linked: bool
+    view: LeaseView, name: str, cpu_capacity: float, *, is_linked: bool
 ) -> float:
     """Return the seconds between two reads of a lease whose holder is not heard.
 
@@ -107,7 +107,7 @@
     """
     record = view.record
     if record is None:
-        return POLL_INTERVAL + election_delay(view, name, strength) / 2
+        return POLL_INTERVAL + election_delay(view, name, cpu_capacity) / 2
     if not record.members or name in record.members:
         return POLL_INTERVAL
     if record.holder.partition("/")[0] == name:
@@ -116,7 +116,7 @@
 
 
 @callback
-def election_delay(view: LeaseView, name: str, strength: float) -> float:
+def election_delay(view: LeaseView, name: str, cpu_capacity: float) -> float:
     """Return the seconds for which a free lease is left to stronger instances.
 
     Assigning keys to hundreds of targets takes most of a core. The record lists its
@@ -127,7 +127,10 @@
     """
     record = view.record
     if record is None:
-        return max(SUFFICIENT_STRENGTH - strength, 0.0) * FIRST_ELECTION_DELAY_PER_CORE
+        return (
+            max(SUFFICIENT_CPU_CAPACITY - cpu_capacity, 0.0)
+            * FIRST_ELECTION_DELAY_PER_CORE
+        )
     if name in record.members:
         return record.members.index(name) * ELECTION_DELAY_PER_RANK
     if record.members and _was_given_up(record, view.resigned_term):
--- a/swiftpin/keyranges/fences.py
+++ b/swiftpin/keyranges/fences.py
@@ -6,10 +6,10 @@
 
 from swiftpin.core import callback
 
-FENCES_A_TERM: Final = 1_000_000
+FENCES_PER_TERM: Final = 1_000_000
 """Fences per term; all fences of the next term are higher."""
 
-FENCE_RESERVE: Final = FENCES_A_TERM // 10
+FENCE_RESERVE: Final = FENCES_PER_TERM // 10
 """Number of remaining fences at which the next term is requested. Each grant over a new
 connection uses one, at most 250 per second; beginning a term takes one write."""
 
@@ -30,26 +30,26 @@
     def __init__(self) -> None:
         self._next = 1
         self._map_number = 0
-        self._end = FENCES_A_TERM
+        self._end = FENCES_PER_TERM
 
     @property
-    def next(self) -> int:
+    def next_fence(self) -> int:
         """Return the next fence to be allocated."""
         return self._next
 
     @property
-    def is_nearly_spent(self) -> bool:
+    def is_nearly_exhausted(self) -> bool:
         """Return whether the next term should begin soon."""
         return self._end - self._next < FENCE_RESERVE
 
     @callback
     def begin_term(self, term: int) -> None:
         """Continue with fences above those of all earlier terms."""
-        self._end = (term + 1) * FENCES_A_TERM
-        self._next = max(self._next, term * FENCES_A_TERM + 1)
+        self._end = (term + 1) * FENCES_PER_TERM
+        self._next = max(self._next, term * FENCES_PER_TERM + 1)
 
     @callback
-    def take(self, count: int = 1) -> int:
+    def allocate(self, count: int = 1) -> int:
         """Allocate consecutive fences and return the first one."""
         first = self._next
         self._next += count
--- a/swiftpin/keyranges/grant_renewer.py
+++ b/swiftpin/keyranges/grant_renewer.py
@@ -10,7 +10,7 @@
 from swiftpin.helpers.clock import suspend_aware_now
 from swiftpin.keyranges.assignment_state import AssignmentState
 from swiftpin.keyranges.granter import Granter
-from swiftpin.keyranges.hold_times import renew_pause
+from swiftpin.keyranges.hold_times import renew_interval
 from swiftpin.keyranges.key_map_publisher import KeyMapPublisher
 from swiftpin.keyranges.segment import Segment
 from swiftpin.keyranges.target_session import TargetSession
@@ -78,12 +78,12 @@
         async with session.calls:
             segments = [
                 segment
-                for segment in self._state.present.segments
+                for segment in self._state.current.segments
                 if segment.owner == target_id
             ]
             session.keep_fences({segment.fence for segment in segments})
             for segment in segments:
-                if segment.former or not self._state.stands(segment):
+                if segment.former or not self._state.is_unchanged(segment):
                     continue
                 if not await self._async_renew_segment(target, segment, session):
                     return
@@ -93,7 +93,7 @@
         """Return the seconds until a target's grants are renewed again."""
         if self._sessions.of(target_id).is_failing:
             return FAILING_RENEW
-        return renew_pause(len(self._state.present.segments))
+        return renew_interval(len(self._state.current.segments))
 
     async def _async_renew_segment(
         self, target: Target, segment: Segment, session: TargetSession
--- a/swiftpin/keyranges/granter.py
+++ b/swiftpin/keyranges/granter.py
@@ -11,7 +11,7 @@
 from swiftpin.exceptions import TargetUnreachableError
 from swiftpin.helpers.clock import suspend_aware_now
 from swiftpin.keyranges.assignment import Assignment
-from swiftpin.keyranges.const import CONTROL_TIMEOUT, RELEASE_TIMEOUT, SHORTEST_HOLD
+from swiftpin.keyranges.const import CONTROL_TIMEOUT, MIN_HOLD, RELEASE_TIMEOUT
 from swiftpin.keyranges.fences import Fences
 from swiftpin.keyranges.segment import Segment
 from swiftpin.keyranges.target_session import TargetSession
@@ -60,7 +60,7 @@
     @callback
     def take_fence(self) -> int:
         """Return a fence above all that were sent."""
-        return self._fences.take()
+        return self._fences.allocate()
 
     @callback
     def forget_handovers(self, present: Assignment) -> None:
@@ -140,7 +140,7 @@
             hold=hold,
             handover=self.handovers_by_fence.get(segment.fence),
             fence_over=lambda connection: session.fence_over(
-                connection, segment.fence, self._fences.take
+                connection, segment.fence, self._fences.allocate
             ),
             preferred_connection=session.grant_connection,
         )
@@ -206,7 +206,7 @@
         hold = self._usual_hold()
         if session.is_failing:
             unextended = session.unextended_hold(now + CONTROL_TIMEOUT)
-            return max(min(hold, unextended), SHORTEST_HOLD)
+            return max(min(hold, unextended), MIN_HOLD)
         return hold
 
     @callback
--- a/swiftpin/keyranges/hold_times.py
+++ b/swiftpin/keyranges/hold_times.py
@@ -6,11 +6,11 @@
 
 from swiftpin.core import callback
 from swiftpin.keyranges.const import (
-    CLOCK_DRIFT,
+    CLOCK_DRIFT_FACTOR,
     HOLD_BEYOND_RENEWAL,
     HOLD_MARGIN,
-    HOLD_TIME,
     MAX_RENEWALS_PER_SECOND,
+    MIN_REGULAR_HOLD,
     MIN_RENEW_INTERVAL,
 )
 
@@ -21,7 +21,7 @@
 """Duration of a grant in the services with the most segments, in seconds."""
 
 
-def renew_pause(segment_count: int) -> float:
+def renew_interval(segment_count: int) -> float:
     """Return the seconds between two renewals of a grant."""
     interval = segment_count / MAX_RENEWALS_PER_SECOND
     return max(MIN_RENEW_INTERVAL, min(interval, MAX_RENEW_INTERVAL))
@@ -29,7 +29,7 @@
 
 def regular_hold(segment_count: int) -> float:
     """Return the duration of a grant to a target that answers, in seconds."""
-    return renew_pause(segment_count) + HOLD_BEYOND_RENEWAL
+    return renew_interval(segment_count) + HOLD_BEYOND_RENEWAL
 
 
 class HoldLimit:
@@ -64,8 +64,10 @@
     ) -> float:
         """Return the limit for a record that is about to be written."""
         wanted = regular_hold(max(previous_segment_count, segment_count))
-        may_be_long = wanted > HOLD_TIME or now < self._long_grants_until
-        return min(MAX_REGULAR_HOLD if may_be_long else HOLD_TIME, self._max_hold)
+        may_be_long = wanted > MIN_REGULAR_HOLD or now < self._long_grants_until
+        return min(
+            MAX_REGULAR_HOLD if may_be_long else MIN_REGULAR_HOLD, self._max_hold
+        )
 
     @callback
     def next_hold(
@@ -80,6 +82,6 @@
     @callback
     def _note_granted(self, hold: float, now: float) -> None:
         """Note that grants of this duration may have been sent until now."""
-        if hold > HOLD_TIME:
-            ends_at = now + hold * CLOCK_DRIFT + HOLD_MARGIN
+        if hold > MIN_REGULAR_HOLD:
+            ends_at = now + hold * CLOCK_DRIFT_FACTOR + HOLD_MARGIN
             self._long_grants_until = max(self._long_grants_until, ends_at)
--- a/swiftpin/keyranges/key_map.py
+++ b/swiftpin/keyranges/key_map.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from swiftpin.keyranges.const import KEYS
+from swiftpin.keyranges.const import KEY_COUNT
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -35,7 +35,7 @@
         """Return the ranges whose owner differs from that in an earlier map."""
         changes: list[OwnerChange] = []
         bounds = sorted({*self.firsts, *previous.firsts})
-        for first, end in zip(bounds, [*bounds[1:], KEYS], strict=True):
+        for first, end in zip(bounds, [*bounds[1:], KEY_COUNT], strict=True):
             owner = self.owner_of(first)
             if owner != previous.owner_of(first):
                 changes.append(OwnerChange(first=first, last=end - 1, owner=owner))
@@ -51,7 +51,9 @@
             high = bisect_left(firsts, next_key)
             new_firsts = [change.first]
             new_owners = [change.owner]
-            if next_key < KEYS and (high == len(firsts) or firsts[high] != next_key):
+            if next_key < KEY_COUNT and (
+                high == len(firsts) or firsts[high] != next_key
+            ):
                 new_firsts.append(next_key)
                 new_owners.append(owners[high - 1])
             firsts[low:high] = new_firsts
--- a/swiftpin/keyranges/key_map_publisher.py
+++ b/swiftpin/keyranges/key_map_publisher.py
@@ -80,7 +80,7 @@
         firsts: list[int] = []
         owners: list[str] = []
         granted_fences = self._state.granted_fences
-        for segment in self._state.present.segments:
+        for segment in self._state.current.segments:
             is_served = not segment.former and segment.fence in granted_fences
             owner = segment.owner if is_served else ""
             if owners and owners[-1] == owner:
--- a/swiftpin/keyranges/lease_election.py
+++ b/swiftpin/keyranges/lease_election.py
@@ -61,7 +61,7 @@
         client: StoreClient,
         health: StoreHealth,
         rng: Random,
-        strength: float,
+        cpu_capacity: float,
         first_start: bool,
         is_holder_heard: Callable[[int], bool],
         is_linked: Callable[[], bool],
@@ -87,14 +87,14 @@
         self.members: tuple[str, ...] = ()
         """Names of the instances to write into the record, strongest first."""
 
-        self.on_seen: Callable[[LeaseRecord], None] = _ignore
+        self.on_record: Callable[[LeaseRecord], None] = _ignore
         self._name = name
         self._incarnation = incarnation
         self._peer = peer
-        self._store = LeaseStore(client, health, lambda record: self.on_seen(record))
+        self._store = LeaseStore(client, health, lambda record: self.on_record(record))
         self._health = health
         self._rng = rng
-        self._strength = strength
+        self._cpu_capacity = cpu_capacity
         self._first_start = first_start
         self._free_since: float | None = None
         self._is_holder_heard = is_holder_heard
@@ -116,7 +116,7 @@
         return self._eligible.is_set()
 
     @callback
-    def note_willing(self) -> None:
+    def note_eligible(self) -> None:
         """Note that this instance has a configuration, so it can assign keys."""
         self._eligible.set()
 
@@ -260,7 +260,7 @@
         if is_candidate and is_free(view, self._name, now):
             if self._free_since is None:
                 self._free_since = now
-            delay = election_delay(view, self._name, self._strength)
+            delay = election_delay(view, self._name, self._cpu_capacity)
             remaining = self._free_since + delay - now
             if remaining > 0:
                 return min(remaining, self._poll_interval())
@@ -273,7 +273,7 @@
     def _poll_interval(self) -> float:
         """Return the seconds until the next read, without jitter."""
         return poll_interval(
-            self._view(), self._name, self._strength, is_linked=self._is_linked()
+            self._view(), self._name, self._cpu_capacity, is_linked=self._is_linked()
         )
 
     def _view(self) -> LeaseView:
--- a/swiftpin/keyranges/move_runner.py
+++ b/swiftpin/keyranges/move_runner.py
@@ -67,7 +67,7 @@
             self._granter.handovers_by_fence[segment.fence] = handover
         released_at = suspend_aware_now()
         granted = await self._mover.async_grant_new(segment)
-        self._state.assignment = self._state.present.with_replaced(
+        self._state.assignment = self._state.current.with_replaced(
             segment, replace(segment, former="")
         )
         if granted:
--- a/swiftpin/keyranges/range_assigner.py
+++ b/swiftpin/keyranges/range_assigner.py
@@ -66,17 +66,17 @@
         lease: LeaseElection,
         fences: Fences,
         health: StoreHealth,
-        longest_hold: float,
+        max_hold: float,
         health_path: str,
         on_map: Callable[[KeyMap], None],
         count_members: Callable[[], int],
         longest_request: Callable[[], float],
-        declared: Callable[[], ServiceSpec],
+        get_service_spec: Callable[[], ServiceSpec],
     ) -> None:
         self.load = KeyLoad()
         self.speed = TargetSpeed()
         self._service = service
-        self._get_service_spec = declared
+        self._get_service_spec = get_service_spec
         self._directory = directory
         self._lease = lease
         self._health = health
@@ -84,7 +84,7 @@
         fences.begin_term(lease.term)
         self._took_over_at = suspend_aware_now()
         self._state = AssignmentState()
-        self._hold_limit = HoldLimit(longest_hold)
+        self._hold_limit = HoldLimit(max_hold)
         self._record = AssignmentRecord(service, client, health)
         self._sessions = TargetSessions(directory)
         self._granter = Granter(
@@ -160,9 +160,9 @@
     @callback
     def _usual_hold(self) -> float:
         """Return the duration of a grant to a target that answers, in seconds."""
-        present = self._state.present
+        present = self._state.current
         return self._hold_limit.next_hold(
-            len(present.segments), present.longest_hold, suspend_aware_now()
+            len(present.segments), present.max_hold, suspend_aware_now()
         )
 
     # Planning.
@@ -204,12 +204,12 @@
         involved = self._state.involved_targets()
         self._sessions.forget(involved, now)
         self._state.prune_granted_fences()
-        self._granter.forget_handovers(self._state.present)
+        self._granter.forget_handovers(self._state.current)
         self.speed.keep(involved | self._directory.targets_by_id.keys())
 
     async def _async_plan_once(self, now: float) -> None:
         """Plan, record and start moves."""
-        current = self._state.present
+        current = self._state.current
         capacities = self._capacities(now)
         bounds = {
             target: self._capacity_bounds(target, capacity)
@@ -222,26 +222,26 @@
             bounds,
             limited=self._limited_targets(now) & capacities.keys(),
         )
-        merged, merged_fences = current.with_joined(
-            self._fences.next, MAX_MERGED_SEGMENTS
+        merged, merged_fences = current.with_merged_neighbours(
+            self._fences.next_fence, MAX_MERGED_SEGMENTS
         )
         if not moves and len(merged_fences) < MIN_MERGED_SEGMENTS:
             return
-        self._fences.take(len(merged_fences))
-        first_fence = self._fences.take(len(moves))
+        self._fences.allocate(len(merged_fences))
+        first_fence = self._fences.allocate(len(moves))
         planned = merged.with_moves(moves, first_fence)
         limit = self._hold_limit.limit_for_record(
             len(current.segments), len(planned.segments), now
         )
-        planned = replace(planned, longest_hold=limit)
+        planned = replace(planned, max_hold=limit)
         if not await self._record.async_replace(planned):
             return
         # The owner already holds all keys of a merged segment, under earlier fences.
         self._state.granted_fences.update(merged_fences)
         # Keep the completion of moves that finished while the record was written.
-        self._state.assignment = planned.without_finished_moves(self._state.present)
+        self._state.assignment = planned.without_finished_moves(self._state.current)
         self._log_moves(moves, first_fence)
-        for segment in self._state.present.segments:
+        for segment in self._state.current.segments:
             if segment.former and segment.fence >= first_fence:
                 self._moves.start(segment)
         self._publisher.publish()
--- a/swiftpin/keyranges/target_session.py
+++ b/swiftpin/keyranges/target_session.py
@@ -8,7 +8,7 @@
 from typing import Final
 
 from swiftpin.core import callback
-from swiftpin.keyranges.const import CLOCK_DRIFT, HOLD_MARGIN
+from swiftpin.keyranges.const import CLOCK_DRIFT_FACTOR, HOLD_MARGIN
 from swiftpin.keyranges.repeat_limit import RepeatLimit
 
 SILENT_LIMIT: Final = 1.2
@@ -97,13 +97,13 @@
         A target counts from the arrival, which is as late as the answer, or as the
         moment at which the call was given up, where a link lost what was sent.
         """
-        ends_at = arrived_at + hold * CLOCK_DRIFT + HOLD_MARGIN
+        ends_at = arrived_at + hold * CLOCK_DRIFT_FACTOR + HOLD_MARGIN
         self.held_until = max(self.held_until, ends_at)
 
     @callback
     def unextended_hold(self, now: float) -> float:
         """Return the longest grant that ends no later than those sent already."""
-        return (self.held_until - now - HOLD_MARGIN) / CLOCK_DRIFT
+        return (self.held_until - now - HOLD_MARGIN) / CLOCK_DRIFT_FACTOR
 
     @callback
     def note_answer(self) -> None:
--- a/swiftpin/router/app.py
+++ b/swiftpin/router/app.py
@@ -90,7 +90,7 @@
             client=self._store,
             health=self._health,
             rng=Random(incarnation),
-            strength=settings.cpu_capacity,
+            cpu_capacity=settings.cpu_capacity,
             first_start=settings.first_start,
             is_holder_heard=self._is_holder_alive,
             is_linked=self._has_live_links,
@@ -112,7 +112,7 @@
             fleet_size=self._fleet_size,
         )
         self._metrics.add_links(self._fleet.links.traffic)
-        self._lease.on_seen = self._fleet.known_leader.adopt_record
+        self._lease.on_record = self._fleet.known_leader.adopt_record
         self._assigner_factory = AssignerFactory(
             settings=settings,
             client=self._store,
--- a/swiftpin/router/assigner_factory.py
+++ b/swiftpin/router/assigner_factory.py
@@ -69,12 +69,12 @@
             lease=self._lease,
             fences=fences,
             health=self._health,
-            longest_hold=self.settings.bounds.max_hold,
+            max_hold=self.settings.bounds.max_hold,
             health_path=configuration.services_by_name[service].health_path,
             on_map=self._key_maps.publish,
             count_members=lambda: self._permits.issuers.members,
             longest_request=self._max_request_time,
-            declared=partial(
+            get_service_spec=partial(
                 self._current_spec, configuration.services_by_name[service]
             ),
         )
--- a/swiftpin/router/extension_votes.py
+++ b/swiftpin/router/extension_votes.py
@@ -12,7 +12,7 @@
 from swiftpin.fleet.item import Item
 from swiftpin.fleet.link import PeerLink
 from swiftpin.fleet.links import FleetLinks
-from swiftpin.keyranges.const import VOTE_TIME
+from swiftpin.keyranges.const import VOTE_DURATION
 from swiftpin.keyranges.lease_election import LeaseElection
 
 
@@ -50,7 +50,7 @@
             return False
         is_given = self._should_vote(link, heartbeat, now)
         if is_given:
-            self._lease.own_vote_until = now + VOTE_TIME
+            self._lease.own_vote_until = now + VOTE_DURATION
         self._log_vote(link.incarnation if is_given else "")
         return is_given
 
@@ -84,7 +84,7 @@
 
         Counted from before the vote was made, so it never looks longer.
         """
-        link.vote_expires_at = max(link.vote_expires_at, requested_at + VOTE_TIME)
+        link.vote_expires_at = max(link.vote_expires_at, requested_at + VOTE_DURATION)
         self._lease.extended_until = self._extended_until()
 
     @callback
--- a/swiftpin/router/leader.py
+++ b/swiftpin/router/leader.py
@@ -60,7 +60,7 @@
         The targets need not be known: their grants may end before they are.
         """
         if self._configuration.current is not None:
-            self._lease.note_willing()
+            self._lease.note_eligible()
 
     @callback
     def handle_load_report(self, report: Item) -> None:
@@ -107,7 +107,7 @@
                 assigner.async_run()
             )
         self._lease.wants_next_term = any(
-            fences.is_nearly_spent for fences in self._fences_by_service.values()
+            fences.is_nearly_exhausted for fences in self._fences_by_service.values()
         )
 
     @callback
--- a/tests/keyranges/test_assignment.py
+++ b/tests/keyranges/test_assignment.py
@@ -10,17 +10,17 @@
 from swiftpin.keyranges.assignment import (
     Assignment,
     decode_assignment,
-    divide_evenly,
+    divide_by_weight,
     encode_assignment,
 )
-from swiftpin.keyranges.const import KEYS
+from swiftpin.keyranges.const import KEY_COUNT
 from swiftpin.keyranges.move import Move
 
 
 @pytest.fixture(name="assignment")
 def assignment_fixture() -> Assignment:
     """Return an assignment to three targets."""
-    return divide_evenly({"a": 2.0, "b": 2.0, "c": 4.0}, fence=7)
+    return divide_by_weight({"a": 2.0, "b": 2.0, "c": 4.0}, fence=7)
 
 
 def covered_keys(assignment: Assignment) -> list[int]:
@@ -35,7 +35,7 @@
 def test_initial_ranges_follow_the_weights(assignment: Assignment) -> None:
     """A target with twice the slots gets twice as many keys."""
     widths = {segment.owner: segment.width for segment in assignment.segments}
-    assert widths == {"a": KEYS // 4, "b": KEYS // 4, "c": KEYS // 2}
+    assert widths == {"a": KEY_COUNT // 4, "b": KEY_COUNT // 4, "c": KEY_COUNT // 2}
 
 
 def test_moves_keep_every_key_covered_once(assignment: Assignment) -> None:
@@ -43,11 +43,11 @@
     moved = assignment.with_moves(
         [
             Move(first=10, last=20, source="a", to="b"),
-            Move(first=KEYS // 4 - 5, last=KEYS // 4 + 5, source="a", to="c"),
+            Move(first=KEY_COUNT // 4 - 5, last=KEY_COUNT // 4 + 5, source="a", to="c"),
         ],
         next_fence=100,
     )
-    assert covered_keys(moved) == list(range(KEYS))
+    assert covered_keys(moved) == list(range(KEY_COUNT))
     assert moved.segment_of(15).owner == "b"
     assert moved.segment_of(15).former == "a"
     assert moved.segment_of(15).fence == 100
@@ -71,25 +71,25 @@
     after_move = assignment.with_moves(
         [Move(first=10, last=20, source="a", to="b")], 50
     )
-    assert after_move.with_joined(90, 10)[1] == []
+    assert after_move.with_merged_neighbours(90, 10)[1] == []
     after_return = Assignment(
         segments=tuple(
             replace(s, owner="a", former="") for s in after_move.segments[:3]
         )
         + after_move.segments[3:]
     )
-    joined, fences = after_return.with_joined(90, 10)
+    joined, fences = after_return.with_merged_neighbours(90, 10)
     assert fences == [90]
-    assert covered_keys(joined) == list(range(KEYS))
-    assert joined.segments[0].last == KEYS // 4 - 1
+    assert covered_keys(joined) == list(range(KEY_COUNT))
+    assert joined.segments[0].last == KEY_COUNT // 4 - 1
     assert joined.segments[0].fence == 90
 
 
 def test_record_contains_the_longest_grant(assignment: Assignment) -> None:
     """A successor reads how long to wait; records of older versions don't say so."""
-    with_hold = replace(assignment, longest_hold=5.9)
+    with_hold = replace(assignment, max_hold=5.9)
     assert decode_assignment(encode_assignment(with_hold)) == with_hold
-    assert decode_assignment(encode_assignment(assignment)).longest_hold is None
+    assert decode_assignment(encode_assignment(assignment)).max_hold is None
 
 
 def test_every_change_keeps_the_longest_grant(assignment: Assignment) -> None:
@@ -97,12 +97,12 @@
 
     The changed assignment used to drop the recorded duration of the longest grant.
     """
-    with_hold = replace(assignment, longest_hold=5.9)
+    with_hold = replace(assignment, max_hold=5.9)
     moved = with_hold.with_moves([Move(first=0, last=0, source="a", to="c")], 9)
-    assert moved.longest_hold == 5.9
-    assert moved.with_joined(90, 10)[0].longest_hold == 5.9
+    assert moved.max_hold == 5.9
+    assert moved.with_merged_neighbours(90, 10)[0].max_hold == 5.9
     assert moved.with_replaced(moved.segments[0], moved.segments[0]) == moved
-    assert moved.without_finished_moves(with_hold).longest_hold == 5.9
+    assert moved.without_finished_moves(with_hold).max_hold == 5.9
 
 
 def test_moves_finished_while_a_plan_was_recorded_stay_finished(
--- a/tests/keyranges/test_assignment_loader.py
+++ b/tests/keyranges/test_assignment_loader.py
@@ -14,7 +14,7 @@
 from swiftpin.keyranges.assignment import Assignment
 from swiftpin.keyranges.assignment_loader import AssignmentLoader
 from swiftpin.keyranges.assignment_record import AssignmentRecord
-from swiftpin.keyranges.const import CLOCK_DRIFT, CONTROL_TIMEOUT, HOLD_MARGIN
+from swiftpin.keyranges.const import CLOCK_DRIFT_FACTOR, CONTROL_TIMEOUT, HOLD_MARGIN
 from swiftpin.keyranges.fences import Fences
 from swiftpin.keyranges.granter import Granter
 from swiftpin.keyranges.hold_times import HoldLimit
@@ -115,11 +115,11 @@
     """
     record.assignment = Assignment(
         segments=(Segment(first=0, last=65535, owner="b@1", fence=5, former="a@1"),),
-        longest_hold=recorded,
+        max_hold=recorded,
     )
     loader = make_loader()
     assert await loader.async_load(100.0) == record.assignment
-    ends_at = 100.0 + CONTROL_TIMEOUT + hold * CLOCK_DRIFT + HOLD_MARGIN
+    ends_at = 100.0 + CONTROL_TIMEOUT + hold * CLOCK_DRIFT_FACTOR + HOLD_MARGIN
     assert sessions.of("a@1").held_until == pytest.approx(ends_at)
     assert sessions.of("b@1").held_until == pytest.approx(ends_at)
     assert not loader.is_new_assignment
@@ -144,6 +144,6 @@
     loader = make_loader()
     assignment = await loader.async_load(100.0)
     assert {segment.owner for segment in assignment.segments} == {"a@1"}
-    assert assignment.longest_hold is not None
+    assert assignment.max_hold is not None
     assert loader.is_new_assignment
     assert record.assignment == assignment
--- a/tests/keyranges/test_assignment_state.py
+++ b/tests/keyranges/test_assignment_state.py
@@ -35,11 +35,11 @@
     Part of a segment was moved away just before a renewal of the segment was sent. The
     renewal would have granted that part again.
     """
-    before = state.present.segments[0]
-    assert state.stands(before)
+    before = state.current.segments[0]
+    assert state.is_unchanged(before)
     cut = Move(first=100, last=200, source="a", to="b")
-    state.assignment = state.present.with_moves([cut], 7)
-    assert not state.stands(before)
+    state.assignment = state.current.with_moves([cut], 7)
+    assert not state.is_unchanged(before)
 
 
 def test_fences_of_removed_segments_are_pruned(state: AssignmentState) -> None:
--- a/tests/keyranges/test_fences.py
+++ b/tests/keyranges/test_fences.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from swiftpin.keyranges.fences import FENCE_RESERVE, FENCES_A_TERM, Fences
+from swiftpin.keyranges.fences import FENCE_RESERVE, FENCES_PER_TERM, Fences
 
 
 def test_restarted_assigner_reuses_no_fence() -> None:
@@ -13,19 +13,19 @@
     """
     fences = Fences()
     fences.begin_term(3)
-    first = fences.take(5)
+    first = fences.allocate(5)
     fences.begin_term(3)
-    assert fences.take() == first + 5
-    assert first > 3 * FENCES_A_TERM
+    assert fences.allocate() == first + 5
+    assert first > 3 * FENCES_PER_TERM
 
 
 def test_fences_of_next_term_are_higher() -> None:
     """All grants of earlier assigners have lower fences."""
     fences = Fences()
     fences.begin_term(1)
-    fences.take(10)
+    fences.allocate(10)
     fences.begin_term(2)
-    assert fences.next > 2 * FENCES_A_TERM
+    assert fences.next_fence > 2 * FENCES_PER_TERM
 
 
 def test_next_term_is_requested_before_fences_run_out() -> None:
@@ -36,8 +36,8 @@
     """
     fences = Fences()
     fences.begin_term(3)
-    assert not fences.is_nearly_spent
-    fences.take(FENCES_A_TERM - FENCE_RESERVE)
-    assert fences.is_nearly_spent
+    assert not fences.is_nearly_exhausted
+    fences.allocate(FENCES_PER_TERM - FENCE_RESERVE)
+    assert fences.is_nearly_exhausted
     fences.begin_term(4)
-    assert not fences.is_nearly_spent
+    assert not fences.is_nearly_exhausted
--- a/tests/keyranges/test_grant_renewer.py
+++ b/tests/keyranges/test_grant_renewer.py
@@ -12,7 +12,7 @@
 from swiftpin.discovery.target_directory import TargetDirectory
 from swiftpin.keyranges.assignment import Assignment
 from swiftpin.keyranges.assignment_state import AssignmentState
-from swiftpin.keyranges.const import HOLD_TIME
+from swiftpin.keyranges.const import MIN_REGULAR_HOLD
 from swiftpin.keyranges.fences import Fences
 from swiftpin.keyranges.grant_renewer import GrantRenewer
 from swiftpin.keyranges.granter import Granter
@@ -99,7 +99,7 @@
             sessions=sessions,
             directory=directory,
             health_path="/health",
-            usual_hold=lambda: HOLD_TIME,
+            usual_hold=lambda: MIN_REGULAR_HOLD,
             fences=Fences(),
             term=1,
         ),
--- a/tests/keyranges/test_granter.py
+++ b/tests/keyranges/test_granter.py
@@ -12,7 +12,7 @@
 from swiftpin.exceptions import TargetUnreachableError
 from swiftpin.helpers.clock import suspend_aware_now
 from swiftpin.keyranges.assignment import Assignment
-from swiftpin.keyranges.const import CLOCK_DRIFT, HOLD_MARGIN, HOLD_TIME
+from swiftpin.keyranges.const import CLOCK_DRIFT_FACTOR, HOLD_MARGIN, MIN_REGULAR_HOLD
 from swiftpin.keyranges.fences import Fences
 from swiftpin.keyranges.granter import Granter
 from swiftpin.keyranges.segment import Segment
@@ -87,7 +87,7 @@
         sessions=sessions,
         directory=directory,
         health_path="/health",
-        usual_hold=lambda: HOLD_TIME,
+        usual_hold=lambda: MIN_REGULAR_HOLD,
         fences=Fences(),
         term=1,
     )
@@ -106,7 +106,7 @@
     started = suspend_aware_now()
     for _ in range(5):
         assert not await granter.async_grant(TARGET, SEGMENT, session)
-    longest = HOLD_TIME * CLOCK_DRIFT + HOLD_MARGIN
+    longest = MIN_REGULAR_HOLD * CLOCK_DRIFT_FACTOR + HOLD_MARGIN
     assert session.held_until <= started + longest + 0.5
 
 
@@ -123,7 +123,7 @@
     session.note_failure(suspend_aware_now())
     assert await granter.async_grant(TARGET, SEGMENT, session)
     assert control.holds[0] < 1.0
-    assert control.holds[-1] == HOLD_TIME
+    assert control.holds[-1] == MIN_REGULAR_HOLD
 
 
 @pytest.mark.parametrize("loses_answers", [False, True])
@@ -145,7 +145,7 @@
     control.delay = 0.5
     started = suspend_aware_now()
     await granter.async_grant(TARGET, SEGMENT, session)
-    assert session.held_until >= started + 0.5 + HOLD_TIME * CLOCK_DRIFT
+    assert session.held_until >= started + 0.5 + MIN_REGULAR_HOLD * CLOCK_DRIFT_FACTOR
 
 
 async def test_renewal_keeps_its_fence_on_its_connection(
@@ -199,10 +199,10 @@
     Cause: each try took a fence, though nothing was sent.
     """
     session = sessions.of("a")
-    before = granter._fences.next
+    before = granter._fences.next_fence
     control.refuses_connections = True
     assert not await granter.async_grant(TARGET, SEGMENT, session)
-    assert granter._fences.next == before
+    assert granter._fences.next_fence == before
 
 
 async def test_refused_grant_is_sent_again_under_a_new_fence(
@@ -245,7 +245,7 @@
     assert [line["outcome"] for line in told] == ["written", "not sent"]
     first = told[0]
     assert (first["target"], first["first"], first["last"]) == ("a", 0, 9)
-    assert (first["fence"], first["term"], first["hold"]) == (1, 1, HOLD_TIME)
+    assert (first["fence"], first["term"], first["hold"]) == (1, 1, MIN_REGULAR_HOLD)
     assert first["reason"] == "lost"
 
 
--- a/tests/keyranges/test_hold_times.py
+++ b/tests/keyranges/test_hold_times.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from swiftpin.keyranges.const import CLOCK_DRIFT, HOLD_MARGIN, HOLD_TIME
+from swiftpin.keyranges.const import CLOCK_DRIFT_FACTOR, HOLD_MARGIN, MIN_REGULAR_HOLD
 from swiftpin.keyranges.hold_times import MAX_REGULAR_HOLD, HoldLimit, regular_hold
 
 MAX_HOLD = 10.0
@@ -20,7 +20,7 @@
 
 def test_grants_renewed_less_often_last_longer() -> None:
     """The renewals of many segments take longer."""
-    assert regular_hold(FEW_SEGMENTS) == HOLD_TIME
+    assert regular_hold(FEW_SEGMENTS) == MIN_REGULAR_HOLD
     assert regular_hold(MANY_SEGMENTS) == MAX_REGULAR_HOLD
 
 
@@ -37,19 +37,22 @@
     granted_hold = limit.next_hold(MANY_SEGMENTS, MAX_REGULAR_HOLD, now)
     assert granted_hold == MAX_REGULAR_HOLD
     assert limit.limit_for_record(FEW_SEGMENTS, FEW_SEGMENTS, now + 1.0) >= granted_hold
-    expired_at = now + granted_hold * CLOCK_DRIFT + HOLD_MARGIN
+    expired_at = now + granted_hold * CLOCK_DRIFT_FACTOR + HOLD_MARGIN
     assert (
         limit.limit_for_record(FEW_SEGMENTS, FEW_SEGMENTS, expired_at - 0.01)
         >= granted_hold
     )
-    assert limit.limit_for_record(FEW_SEGMENTS, FEW_SEGMENTS, expired_at) == HOLD_TIME
+    assert (
+        limit.limit_for_record(FEW_SEGMENTS, FEW_SEGMENTS, expired_at)
+        == MIN_REGULAR_HOLD
+    )
 
 
 def test_longer_grants_are_sent_only_after_the_limit_is_recorded(
     limit: HoldLimit,
 ) -> None:
     """A successor that read the record earlier must not miss longer grants."""
-    assert limit.next_hold(MANY_SEGMENTS, HOLD_TIME, 100.0) == HOLD_TIME
+    assert limit.next_hold(MANY_SEGMENTS, MIN_REGULAR_HOLD, 100.0) == MIN_REGULAR_HOLD
     recorded = limit.limit_for_record(FEW_SEGMENTS, MANY_SEGMENTS, 100.0)
     assert limit.next_hold(MANY_SEGMENTS, recorded, 100.0) == MAX_REGULAR_HOLD
 
--- a/tests/keyranges/test_key_map.py
+++ b/tests/keyranges/test_key_map.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from swiftpin.keyranges.const import KEYS
+from swiftpin.keyranges.const import KEY_COUNT
 from swiftpin.keyranges.key_map import KeyMap
 from swiftpin.router.fleet_messages import (
     decode_key_map,
@@ -29,12 +29,14 @@
 
 
 MAPS = st.dictionaries(
-    st.integers(1, KEYS - 1), st.sampled_from(("a", "b", "")), max_size=8
+    st.integers(1, KEY_COUNT - 1), st.sampled_from(("a", "b", "")), max_size=8
 )
 
 
 @given(
-    before=MAPS, after=MAPS, sampled_keys=st.lists(st.integers(0, KEYS - 1), min_size=5)
+    before=MAPS,
+    after=MAPS,
+    sampled_keys=st.lists(st.integers(0, KEY_COUNT - 1), min_size=5),
 )
 def test_changes_lead_from_one_map_to_the_next(
     before: dict[int, str], after: dict[int, str], sampled_keys: list[int]
@@ -44,7 +46,7 @@
     item = encode_key_map_change(new, new.changes_since(old))
     changed = old.with_changes(decode_owner_changes(item.key_map_change))
     assert changed.number == new.number
-    for key in (*sampled_keys, *new.firsts, *old.firsts, KEYS - 1):
+    for key in (*sampled_keys, *new.firsts, *old.firsts, KEY_COUNT - 1):
         assert changed.owner_of(key) == new.owner_of(key)
 
 
--- a/tests/keyranges/test_late_calls.py
+++ b/tests/keyranges/test_late_calls.py
@@ -15,7 +15,7 @@
     TargetUnreachableError,
 )
 from swiftpin.helpers.clock import suspend_aware_now
-from swiftpin.keyranges.const import HOLD_TIME
+from swiftpin.keyranges.const import MIN_REGULAR_HOLD
 from swiftpin.keyranges.fences import Fences
 from swiftpin.keyranges.granter import Granter
 from swiftpin.keyranges.mover import Mover
@@ -65,7 +65,7 @@
         sessions=sessions,
         directory=directory,
         health_path="/health",
-        usual_hold=lambda: HOLD_TIME,
+        usual_hold=lambda: MIN_REGULAR_HOLD,
         fences=Fences(),
         term=1,
     )
@@ -91,7 +91,7 @@
     """
     control = ReleaseControl(losses=2)
     mover, sessions = make_mover(control, directory, 0.4)
-    sessions.of("a").note_grant(suspend_aware_now(), HOLD_TIME)
+    sessions.of("a").note_grant(suspend_aware_now(), MIN_REGULAR_HOLD)
     segment = Segment(first=0, last=9, owner="b", fence=7, former="a")
     assert await mover.async_take_back(segment, None) == "handover"
     assert suspend_aware_now() >= control.releases_at[1] + 0.4
--- a/tests/keyranges/test_late_records.py
+++ b/tests/keyranges/test_late_records.py
@@ -147,12 +147,12 @@
         lease=cast(LeaseElection, SimpleNamespace(term=term)),
         fences=Fences(),
         health=StoreHealth(),
-        longest_hold=10.0,
+        max_hold=10.0,
         health_path="/health",
         on_map=lambda key_map: None,
         count_members=lambda: 1,
         longest_request=lambda: 0.0,
-        declared=lambda: KEYED,
+        get_service_spec=lambda: KEYED,
     )
     await assigner._async_load()
     await async_wait_for_moves(assigner)
@@ -264,7 +264,7 @@
     assert targets.granted_by_target["b"]
     store.apply_late_writes()
     third = await async_take_over(3, store, targets, directory)
-    assert third._state.present.segment_of(0).owner == "b"
+    assert third._state.current.segment_of(0).owner == "b"
 
 
 async def test_wait_for_running_requests_starts_at_the_release_of_a_predecessor(
--- a/tests/keyranges/test_late_renewals.py
+++ b/tests/keyranges/test_late_renewals.py
@@ -113,12 +113,12 @@
         client=cast(StoreClient, store),
         health=StoreHealth(),
         rng=Random(1),
-        strength=2.0,
+        cpu_capacity=2.0,
         first_start=True,
         is_holder_heard=lambda holder: False,
         is_linked=lambda: False,
     )
-    lease.note_willing()
+    lease.note_eligible()
     await lease._async_poll(now)
     assert lease.is_held(now)
     pass_time(0.4)
@@ -148,7 +148,7 @@
         client=cast(StoreClient, store),
         health=health,
         rng=Random(1),
-        strength=2.0,
+        cpu_capacity=2.0,
         first_start=True,
         is_holder_heard=lambda holder: False,
         is_linked=lambda: False,
@@ -167,7 +167,7 @@
         permits=PermitBroker("a/1", "z"),
         key_maps=cast(KeyMapSharing, SimpleNamespace(publish=lambda key_map: None)),
     )
-    lease.note_willing()
+    lease.note_eligible()
     await lease._async_poll(suspend_aware_now())
     assigner = factory.make("desk", configuration, Fences())
     gate = assigner._renewer._granter._control._gate
--- a/tests/keyranges/test_lease_election.py
+++ b/tests/keyranges/test_lease_election.py
@@ -114,13 +114,13 @@
         client=store,  # type: ignore[arg-type]  # fake with the calls made
         health=StoreHealth(),
         rng=Random(1),
-        strength=2.0,
+        cpu_capacity=2.0,
         first_start=True,
         is_holder_heard=lambda holder: False,
         is_linked=lambda: False,
     )
     if is_eligible:
-        election.note_willing()
+        election.note_eligible()
     election.members = ("b", "a")
     return election
 
@@ -417,7 +417,7 @@
     try:
         await asyncio.sleep(0.01)
         assert not again.is_held(clock.now)
-        again.note_willing()
+        again.note_eligible()
         await asyncio.sleep(0.01)
         assert again.is_held(clock.now)
     finally:
--- a/tests/keyranges/test_move_runner.py
+++ b/tests/keyranges/test_move_runner.py
@@ -95,7 +95,7 @@
     """The handover is kept for the renewals that follow."""
     runner.start(MOVING)
     await asyncio.sleep(0)
-    assert state.present.segments == (MOVING,)
+    assert state.current.segments == (MOVING,)
     mover.released.set()
     await async_end(lines, "move_done")
     assert state.owners() == {"b"}
@@ -137,4 +137,4 @@
     runner.unload()
     mover.released.set()
     await asyncio.sleep(0)
-    assert state.present.segments == (MOVING,)
+    assert state.current.segments == (MOVING,)
--- a/tests/keyranges/test_mover.py
+++ b/tests/keyranges/test_mover.py
@@ -13,7 +13,7 @@
 from swiftpin.discovery.target_directory import TargetDirectory
 from swiftpin.exceptions import TargetUnreachableError
 from swiftpin.helpers.clock import suspend_aware_now
-from swiftpin.keyranges.const import HOLD_TIME
+from swiftpin.keyranges.const import MIN_REGULAR_HOLD
 from swiftpin.keyranges.fences import Fences
 from swiftpin.keyranges.granter import Granter
 from swiftpin.keyranges.mover import Mover
@@ -83,7 +83,7 @@
         health_path="/health",
         fences=Fences(),
         term=1,
-        usual_hold=lambda: HOLD_TIME,
+        usual_hold=lambda: MIN_REGULAR_HOLD,
     )
 
 
--- a/tests/keyranges/test_plan_at_the_limit.py
+++ b/tests/keyranges/test_plan_at_the_limit.py
@@ -16,7 +16,7 @@
 from __future__ import annotations
 
 from swiftpin.keyranges.assignment import Assignment
-from swiftpin.keyranges.const import KEYS
+from swiftpin.keyranges.const import KEY_COUNT
 from swiftpin.keyranges.planner import MOST_SEGMENTS, plan_moves
 from swiftpin.keyranges.segment import Segment
 
@@ -28,7 +28,7 @@
 
 def cut_up(pieces: int) -> Assignment:
     """Return keys in equal pieces that the targets own by turns."""
-    bounds = [KEYS * number // pieces for number in range(pieces + 1)]
+    bounds = [KEY_COUNT * number // pieces for number in range(pieces + 1)]
     return Assignment(
         segments=tuple(
             Segment(
@@ -47,7 +47,9 @@
     capacities = dict.fromkeys(TARGETS, CAPACITY)
     for number in range(PLANS):
         moves = plan_moves(assignment, capacities, rates)
-        joined, _ = assignment.with_joined(1000 * number + 1000, len(moves) + 100)
+        joined, _ = assignment.with_merged_neighbours(
+            1000 * number + 1000, len(moves) + 100
+        )
         planned = joined.with_moves(moves, 1000 * number + 1500)
         segments = tuple(
             Segment(
--- a/tests/keyranges/test_plan_hot_keys.py
+++ b/tests/keyranges/test_plan_hot_keys.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from swiftpin.keyranges.assignment import Assignment, divide_evenly
+from swiftpin.keyranges.assignment import Assignment, divide_by_weight
 from swiftpin.keyranges.move import Move
 from swiftpin.keyranges.plan_hot_keys import FASTER
 from swiftpin.keyranges.planner import plan_moves
@@ -25,7 +25,7 @@
 @pytest.fixture(name="even")
 def even_fixture() -> Assignment:
     """Return an even assignment to four targets; the first keys are a's."""
-    return divide_evenly(dict.fromkeys(CAPACITIES, 1.0), fence=1)
+    return divide_by_weight(dict.fromkeys(CAPACITIES, 1.0), fence=1)
 
 
 def move_of(key: int, moves: list[Move]) -> Move | None:
--- a/tests/keyranges/test_planner.py
+++ b/tests/keyranges/test_planner.py
@@ -7,8 +7,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from swiftpin.keyranges.assignment import Assignment, divide_evenly
-from swiftpin.keyranges.const import KEYS
+from swiftpin.keyranges.assignment import Assignment, divide_by_weight
+from swiftpin.keyranges.const import KEY_COUNT
 from swiftpin.keyranges.move import Move
 from swiftpin.keyranges.planner import plan_moves
 
@@ -18,7 +18,7 @@
 
 def even() -> Assignment:
     """Return an even assignment to four targets."""
-    return divide_evenly(dict.fromkeys(TARGETS, 1.0), fence=1)
+    return divide_by_weight(dict.fromkeys(TARGETS, 1.0), fence=1)
 
 
 def loads(assignment: Assignment, rates: dict[int, float]) -> dict[str, float]:
@@ -65,11 +65,11 @@
     Cause: the second move released them at a target that had never held them.
     """
     assignment = even().with_moves(
-        [Move(first=0, last=KEYS // 4 - 1, source="a", to="b")], 2
+        [Move(first=0, last=KEY_COUNT // 4 - 1, source="a", to="b")], 2
     )
     eligible = dict.fromkeys(("a", "c", "d"), CAPACITY)
     moves = plan_moves(assignment, eligible, {})
-    assert all(move.first >= KEYS // 4 for move in moves)
+    assert all(move.first >= KEY_COUNT // 4 for move in moves)
 
 
 def test_new_target_gets_keys() -> None:
@@ -82,7 +82,7 @@
 @settings(max_examples=60, deadline=None)
 @given(
     rates=st.dictionaries(
-        st.integers(0, KEYS - 1), st.floats(0.1, 8.0), min_size=1, max_size=60
+        st.integers(0, KEY_COUNT - 1), st.floats(0.1, 8.0), min_size=1, max_size=60
     ),
     eligible=st.sets(st.sampled_from((*TARGETS, "e")), min_size=1),
 )
@@ -107,7 +107,7 @@
     Cause: a rate counted over a second was taken for the truth.
     """
     rates = dict.fromkeys(range(0, 6), 0.67)
-    rates |= {KEYS // 2 + key: 0.67 for key in range(10)}
+    rates |= {KEY_COUNT // 2 + key: 0.67 for key in range(10)}
     assert plan_moves(even(), dict.fromkeys(TARGETS, CAPACITY), rates) == []
 
 
--- a/tests/keyranges/test_range_assigner.py
+++ b/tests/keyranges/test_range_assigner.py
@@ -14,7 +14,7 @@
 from swiftpin.helpers.clock import suspend_aware_now
 from swiftpin.keyranges import range_assigner as range_assigner_module
 from swiftpin.keyranges.assignment import Assignment
-from swiftpin.keyranges.const import HOLD_TIME
+from swiftpin.keyranges.const import MIN_REGULAR_HOLD
 from swiftpin.keyranges.fences import Fences
 from swiftpin.keyranges.lease_election import LeaseElection
 from swiftpin.keyranges.move import Move
@@ -98,12 +98,12 @@
         lease=cast(LeaseElection, SimpleNamespace(term=3)),
         fences=Fences(),
         health=StoreHealth(),
-        longest_hold=10.0,
+        max_hold=10.0,
         health_path="/health",
         on_map=lambda key_map: None,
         count_members=lambda: 1,
         longest_request=lambda: 1.0,
-        declared=lambda: KEYED,
+        get_service_spec=lambda: KEYED,
     )
     assigner._state.assignment = Assignment(
         segments=(
@@ -173,7 +173,7 @@
     directory.replaced_ids.add("a@1")
     segment = Segment(first=0, last=65535, owner="a@1", fence=5)
     assigner._state.assignment = Assignment(segments=(segment,))
-    assigner._sessions.of("a@1").note_grant(suspend_aware_now(), HOLD_TIME)
+    assigner._sessions.of("a@1").note_grant(suspend_aware_now(), MIN_REGULAR_HOLD)
     move = Move(first=0, last=65535, source="a@1", to="a@2")
     monkeypatch.setattr(range_assigner_module, "plan_moves", lambda *_, **__: [move])
     store.may_respond.set()
@@ -181,9 +181,9 @@
     await assigner._async_plan_once(0.0)
     while moves := assigner._moves._moves_by_first:
         await asyncio.gather(*moves.values())
-    assert suspend_aware_now() < started + HOLD_TIME / 2
+    assert suspend_aware_now() < started + MIN_REGULAR_HOLD / 2
     assert targets.released_by_target["a"] < targets.granted_by_target["a"]
-    assert [s.owner for s in assigner._state.present.segments] == ["a@2"]
+    assert [s.owner for s in assigner._state.current.segments] == ["a@2"]
 
 
 def test_owners_missing_from_the_first_list_keep_their_keys(
--- a/tests/keyranges/test_restored_lease.py
+++ b/tests/keyranges/test_restored_lease.py
@@ -115,13 +115,13 @@
         client=cast(StoreClient, client),
         health=StoreHealth(),
         rng=Random(name),
-        strength=2.0,
+        cpu_capacity=2.0,
         first_start=life == 1,
         is_holder_heard=lambda term: False,
         is_linked=lambda: False,
     )
     election.members = NAMES
-    election.note_willing()
+    election.note_eligible()
     return election, client
 
 
--- a/tests/keyranges/test_target_session.py
+++ b/tests/keyranges/test_target_session.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from swiftpin.keyranges.const import CLOCK_DRIFT, HOLD_MARGIN, HOLD_TIME
+from swiftpin.keyranges.const import CLOCK_DRIFT_FACTOR, HOLD_MARGIN, MIN_REGULAR_HOLD
 from swiftpin.keyranges.target_session import SILENT_LIMIT, TargetSession
 
 
@@ -13,12 +13,14 @@
     behind a link that is cut, may be at work for others.
     """
     session = TargetSession()
-    session.note_grant(10.0, HOLD_TIME)
+    session.note_grant(10.0, MIN_REGULAR_HOLD)
     for number in range(100):
         session.note_failure(10.0 + number * SILENT_LIMIT / 10)
     assert session.is_lost(10.1 + SILENT_LIMIT)
     assert not session.is_gone
-    assert session.held_until == 10.0 + HOLD_TIME * CLOCK_DRIFT + HOLD_MARGIN
+    assert (
+        session.held_until == 10.0 + MIN_REGULAR_HOLD * CLOCK_DRIFT_FACTOR + HOLD_MARGIN
+    )
 
 
 def test_an_answer_between_failures_counts() -> None:
--- a/tests/keyranges/test_target_sessions.py
+++ b/tests/keyranges/test_target_sessions.py
@@ -6,7 +6,7 @@
 
 from swiftpin.discovery.store_health import StoreHealth
 from swiftpin.discovery.target_directory import TargetDirectory
-from swiftpin.keyranges.const import HOLD_TIME
+from swiftpin.keyranges.const import MIN_REGULAR_HOLD
 from swiftpin.keyranges.target_sessions import TargetSessions
 from swiftpin.model.target import Target
 from tests.keyranges.targets import make_target
@@ -56,8 +56,8 @@
     sessions: TargetSessions,
 ) -> None:
     """Each start of a target brings a session; they must not pile up."""
-    sessions.of("a@1").note_grant(10.0, HOLD_TIME)
-    sessions.of("a@2").note_grant(10.0, HOLD_TIME)
+    sessions.of("a@1").note_grant(10.0, MIN_REGULAR_HOLD)
+    sessions.of("a@2").note_grant(10.0, MIN_REGULAR_HOLD)
     sessions.forget({"a@2"}, 12.0)
     assert set(sessions._sessions_by_target) == {"a@1", "a@2"}
     sessions.forget({"a@2"}, 20.0)
--- a/tests/platform/test_arbitrary_input.py
+++ b/tests/platform/test_arbitrary_input.py
@@ -17,10 +17,10 @@
 from swiftpin.keyranges.assignment import (
     Assignment,
     decode_assignment,
-    divide_evenly,
+    divide_by_weight,
     encode_assignment,
 )
-from swiftpin.keyranges.const import KEYS
+from swiftpin.keyranges.const import KEY_COUNT
 from swiftpin.keyranges.lease_record import LeaseRecord, decode_lease, encode_lease
 from swiftpin.platform.configuration import decode_configuration
 from swiftpin.platform.json_fields import FieldError, load_json
@@ -59,7 +59,7 @@
 LEASE = encode_lease(
     LeaseRecord(holder="a/1", peer="a:1", term=3, renewal=4, members=("a", "b"))
 )
-ASSIGNMENT = encode_assignment(divide_evenly({"a": 1.0, "b": 2.0}, 5))
+ASSIGNMENT = encode_assignment(divide_by_weight({"a": 1.0, "b": 2.0}, 5))
 STORED = {
     "metadata": {"name": "a", "revision": 3, "deleting": False},
     "specification": content("a", born=5),
@@ -199,7 +199,7 @@
         assert segment.first == expected
         assert segment.last >= segment.first
         expected = segment.last + 1
-    assert expected == KEYS
+    assert expected == KEY_COUNT
 
 
 @given(spoilt({"self": {"node": "n"}, "network": {}, "platform": {}, "terms": {}}))
--- a/tests/router/test_evacuated_zones.py
+++ b/tests/router/test_evacuated_zones.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from swiftpin.keyranges.const import KEYS
+from swiftpin.keyranges.const import KEY_COUNT
 from tests.router.site import BOUNDS, COLD_RATE, Site
 
-SAMPLE = range(0, KEYS, 997)
+SAMPLE = range(0, KEY_COUNT, 997)
 ZONE = "z2"
 
 
--- a/tests/router/test_leader.py
+++ b/tests/router/test_leader.py
@@ -6,7 +6,7 @@
 from types import SimpleNamespace
 from typing import Any, cast
 
-from swiftpin.keyranges.fences import FENCES_A_TERM, Fences
+from swiftpin.keyranges.fences import FENCES_PER_TERM, Fences
 from swiftpin.keyranges.lease_election import LeaseElection
 from swiftpin.keyranges.range_assigner import RangeAssigner
 from swiftpin.model.configuration import Configuration
@@ -41,7 +41,7 @@
     )
     leader._run_assigners()
     assert not lease.wants_next_term
-    made[0].take(FENCES_A_TERM - 1)
+    made[0].allocate(FENCES_PER_TERM - 1)
     leader._run_assigners()
     assert lease.wants_next_term
     lease.term, lease.wants_next_term = 4, False
@@ -60,7 +60,7 @@
     """
     willing: list[bool] = []
     lease = SimpleNamespace(
-        term=0, note_willing=lambda: willing.append(True), is_held=lambda now: False
+        term=0, note_eligible=lambda: willing.append(True), is_held=lambda now: False
     )
     leader = Leader(
         lease=cast(LeaseElection, lease),
--- a/tests/router/test_site.py
+++ b/tests/router/test_site.py
@@ -8,13 +8,18 @@
 
 from swiftpin.exceptions import QueueFullError
 from swiftpin.keyranges import target_session
-from swiftpin.keyranges.const import CLOCK_DRIFT, HOLD_MARGIN, HOLD_TIME, KEYS
+from swiftpin.keyranges.const import (
+    CLOCK_DRIFT_FACTOR,
+    HOLD_MARGIN,
+    KEY_COUNT,
+    MIN_REGULAR_HOLD,
+)
 from swiftpin.permits.permit import Permit
 from swiftpin.router.call import Call
 from tests.router.site import ROUTES, Site, configuration, route
 from tests.router.target_standin import TargetStandin
 
-SAMPLE = range(0, KEYS, 997)
+SAMPLE = range(0, KEY_COUNT, 997)
 
 
 def owners(site: Site, key: int) -> list[str]:
@@ -194,7 +199,7 @@
     await site.async_wait(moved)
     assert loop.time() > last_end
     seconds = loop.time() - started
-    assert seconds < HOLD_TIME * CLOCK_DRIFT + HOLD_MARGIN + 1.0
+    assert seconds < MIN_REGULAR_HOLD * CLOCK_DRIFT_FACTOR + HOLD_MARGIN + 1.0
 
 
 async def test_address_that_another_service_took(site: Site) -> None:
@@ -255,7 +260,7 @@
     other = next(name for name in site.routers_by_name if name != leader)
     await site.async_remove_router(leader)
     loop = asyncio.get_running_loop()
-    until = loop.time() + HOLD_TIME + 1.5
+    until = loop.time() + MIN_REGULAR_HOLD + 1.5
     while loop.time() < until:
         assert (await site.async_call("/read/x", via=other)).status == 200
         await asyncio.sleep(0.05)
@@ -271,7 +276,7 @@
     site.store.is_busy = True
     site.store.forget_history()
     loop = asyncio.get_running_loop()
-    until = loop.time() + HOLD_TIME + 2.5
+    until = loop.time() + MIN_REGULAR_HOLD + 2.5
     while loop.time() < until:
         for via in site.routers_by_name:
             assert (await site.async_call("/read/x", via=via)).status == 200
--- a/tests/router/test_target_restart.py
+++ b/tests/router/test_target_restart.py
@@ -4,10 +4,10 @@
 
 import asyncio
 
-from swiftpin.keyranges.const import HOLD_TIME, KEYS
+from swiftpin.keyranges.const import KEY_COUNT, MIN_REGULAR_HOLD
 from tests.router.site import Site
 
-SAMPLE = range(0, KEYS, 997)
+SAMPLE = range(0, KEY_COUNT, 997)
 
 
 def owners(site: Site, key: int) -> list[str]:
@@ -84,7 +84,7 @@
         return min(held) == 1 and site.is_served() and not site.is_owner("t0")
 
     await site.async_wait(is_moved)
-    assert loop.time() - known_at < HOLD_TIME / 2
+    assert loop.time() - known_at < MIN_REGULAR_HOLD / 2
     await site.async_wait(lambda: site.is_owner("t0@2"))
     assert target.reused_fences() == []
     assert not site.is_owner("t0")
