--- a/swiftpin/bench/decisions/key_owners.py
+++ b/swiftpin/bench/decisions/key_owners.py
@@ -59,7 +59,7 @@
     def owner_of(self, key: int) -> str:
         """Return the owner as the instances know it, empty while a key moves."""
         segment = self._known.segment_of(key)
-        return "" if segment.former else segment.owner
+        return "" if segment.former_owner else segment.owner
 
     def note_request(self, key: int) -> None:
         """Count a request that came."""
@@ -74,7 +74,7 @@
     def _holds(self, target: str, key: int) -> bool:
         """Return whether a target holds a key."""
         segment = self._held.segment_of(key)
-        return segment.owner == target and not segment.former
+        return segment.owner == target and not segment.former_owner
 
     def _plan(self) -> None:
         """Plan moves and start them."""
@@ -103,7 +103,7 @@
         }
         before = self._assignment
         moves = plan_moves(
-            before, capacities, self.load.rates_by_key, bounds, limited=limited
+            before, capacities, self.load.rates_by_key, bounds, limited_targets=limited
         )
         joined, joined_fences = before.with_merged_neighbours(
             self._fence, MAX_MERGED_SEGMENTS
@@ -118,13 +118,13 @@
         self._known = self._held = self._assignment
         self._clock.after(PUBLISH_TIME, self.on_change)
         for segment in self._assignment.segments:
-            if segment.former and segment.fence >= first_fence:
+            if segment.former_owner and segment.fence >= first_fence:
                 self._release(segment)
 
     def _release(self, segment: Segment) -> None:
         """Take the keys from their former owner, then grant them."""
         keys = range(segment.first, segment.last + 1)
-        source = self._targets_by_name[segment.former]
+        source = self._targets_by_name[segment.former_owner]
         self._clock.after(
             CALL_TIME,
             lambda: source.release(
@@ -134,7 +134,7 @@
 
     def _grant(self, segment: Segment) -> None:
         """Give the keys to their new owner."""
-        settled = replace(segment, former="")
+        settled = replace(segment, former_owner="")
         self._assignment = self._assignment.with_replaced(segment, settled)
         self._known = self._held = self._assignment
         self._clock.after(PUBLISH_TIME, self.on_change)
--- a/swiftpin/keyranges/assignment.py
+++ b/swiftpin/keyranges/assignment.py
@@ -74,8 +74,8 @@
             if (
                 last is None
                 or last.owner != segment.owner
-                or last.former
-                or segment.former
+                or last.former_owner
+                or segment.former_owner
             ):
                 joined.append(segment)
             elif fences and last.fence == fences[-1]:
@@ -96,13 +96,15 @@
 
     def without_finished_moves(self, current: Assignment) -> Assignment:
         """Return this plan without the moves that have finished in `current`."""
-        open_fences = {segment.fence for segment in current.segments if segment.former}
+        open_fences = {
+            segment.fence for segment in current.segments if segment.former_owner
+        }
         finished = current.fences() - open_fences
         return replace(
             self,
             segments=tuple(
-                replace(segment, former="")
-                if segment.former and segment.fence in finished
+                replace(segment, former_owner="")
+                if segment.former_owner and segment.fence in finished
                 else segment
                 for segment in self.segments
             ),
@@ -126,7 +128,7 @@
                 last=last,
                 owner=move.to,
                 fence=fence,
-                former=segment.owner,
+                former_owner=segment.owner,
             )
         )
         if last < segment.last:
@@ -160,7 +162,7 @@
     rows = []
     for segment in assignment.segments:
         owner = numbers.setdefault(segment.owner, len(numbers))
-        former = numbers.setdefault(segment.former, len(numbers))
+        former = numbers.setdefault(segment.former_owner, len(numbers))
         rows.append([segment.first, owner, segment.fence, former])
     content: dict[str, Any] = {"targets": list(numbers), "rows": rows}
     if assignment.max_hold is not None:
@@ -200,7 +202,7 @@
         last=first,
         owner=read_string(owner, "the owner"),
         fence=read_integer(values[2], "the fence"),
-        former=former,
+        former_owner=former,
     )
 
 
--- a/swiftpin/keyranges/assignment_loader.py
+++ b/swiftpin/keyranges/assignment_loader.py
@@ -72,13 +72,13 @@
         Its grants expire at the latest after its longest hold, counted from the last
         moment at which a call of that holder may arrive.
         """
-        assignment = await self._record.async_take_over(self._granter.take_fence)
+        assignment = await self._record.async_take_over(self._granter.allocate_fence)
         arrived_at = took_over_at + CONTROL_TIMEOUT
         hold = self._hold_limit.note_recorded(assignment.max_hold, arrived_at)
         for segment in assignment.segments:
-            for target in (segment.owner, segment.former):
+            for target in (segment.owner, segment.former_owner):
                 if target:
-                    self._sessions.of(target).note_grant(arrived_at, hold)
+                    self._sessions.get_or_create(target).note_grant(arrived_at, hold)
         log_message(
             message_type="assignment_loaded",
             service=self._service,
@@ -105,7 +105,7 @@
         weights = {target.id: float(target.slots) for target in targets}
         assignment = divide_by_weight(
             weights,
-            self._granter.take_fence(),
+            self._granter.allocate_fence(),
             self._hold_limit.limit_for_record(0, len(targets), suspend_aware_now()),
         )
         await self._record.async_create(assignment)
--- a/swiftpin/keyranges/assignment_record.py
+++ b/swiftpin/keyranges/assignment_record.py
@@ -57,7 +57,9 @@
         found = await self._client.async_get(KIND_ASSIGNMENT, self._service)
         recorded = decode_assignment(found.content)
         segments = tuple(
-            replace(segment, fence=allocate_fence()) if segment.former else segment
+            replace(segment, fence=allocate_fence())
+            if segment.former_owner
+            else segment
             for segment in recorded.segments
         )
         assignment = replace(recorded, segments=segments)
--- a/swiftpin/keyranges/assignment_state.py
+++ b/swiftpin/keyranges/assignment_state.py
@@ -36,7 +36,9 @@
     def owners(self) -> set[str]:
         """Return the targets that own keys."""
         return {
-            segment.owner for segment in self.current.segments if not segment.former
+            segment.owner
+            for segment in self.current.segments
+            if not segment.former_owner
         }
 
     @callback
@@ -44,7 +46,7 @@
         """Return the targets that own keys, including both sides of each move."""
         segments = self.current.segments
         involved = {segment.owner for segment in segments}
-        return (involved | {segment.former for segment in segments}) - {""}
+        return (involved | {segment.former_owner for segment in segments}) - {""}
 
     @callback
     def is_unchanged(self, segment: Segment) -> bool:
--- a/swiftpin/keyranges/grant_renewer.py
+++ b/swiftpin/keyranges/grant_renewer.py
@@ -17,10 +17,10 @@
 from swiftpin.keyranges.target_sessions import TargetSessions
 from swiftpin.model.target import Target
 
-RENEW_TICK: Final = 0.1
+RENEWAL_POLL_INTERVAL: Final = 0.1
 """Seconds between two looks at which grants are due."""
 
-FAILING_RENEW: Final = 0.25
+FAILED_RENEWAL_RETRY_INTERVAL: Final = 0.25
 """Seconds between two tries at a target that did not answer."""
 
 
@@ -64,26 +64,26 @@
                     if tasks_by_target[target_id].done():
                         del tasks_by_target[target_id]
                         del due_by_target[target_id]
-                await asyncio.sleep(RENEW_TICK)
+                await asyncio.sleep(RENEWAL_POLL_INTERVAL)
 
     async def async_renew(self, target_id: str) -> None:
         """Renew one target's grants once."""
-        session = self._sessions.of(target_id)
+        session = self._sessions.get_or_create(target_id)
         target = self._directory.targets_by_id.get(target_id)
         if target is None or session.is_gone:
             return
         if target_id in self._directory.replaced_ids:
             # A later life would take them, and the instances send it nothing for them.
             return
-        async with session.calls:
+        async with session.renewal_lock:
             segments = [
                 segment
                 for segment in self._state.current.segments
                 if segment.owner == target_id
             ]
-            session.keep_fences({segment.fence for segment in segments})
+            session.retain_fences({segment.fence for segment in segments})
             for segment in segments:
-                if segment.former or not self._state.is_unchanged(segment):
+                if segment.former_owner or not self._state.is_unchanged(segment):
                     continue
                 if not await self._async_renew_segment(target, segment, session):
                     return
@@ -91,8 +91,8 @@
     @callback
     def _pause(self, target_id: str) -> float:
         """Return the seconds until a target's grants are renewed again."""
-        if self._sessions.of(target_id).is_failing:
-            return FAILING_RENEW
+        if self._sessions.get_or_create(target_id).is_failing:
+            return FAILED_RENEWAL_RETRY_INTERVAL
         return renew_interval(len(self._state.current.segments))
 
     async def _async_renew_segment(
--- a/swiftpin/keyranges/granter.py
+++ b/swiftpin/keyranges/granter.py
@@ -42,7 +42,7 @@
         sessions: TargetSessions,
         directory: TargetDirectory,
         health_path: str,
-        usual_hold: Callable[[], float],
+        regular_hold: Callable[[], float],
         fences: Fences,
         term: int,
     ) -> None:
@@ -53,17 +53,17 @@
         self._sessions = sessions
         self._directory = directory
         self._health_path = health_path
-        self._usual_hold = usual_hold
+        self._regular_hold = regular_hold
         self._fences = fences
         self._term = term
 
     @callback
-    def take_fence(self) -> int:
+    def allocate_fence(self) -> int:
         """Return a fence above all that were sent."""
         return self._fences.allocate()
 
     @callback
-    def forget_handovers(self, present: Assignment) -> None:
+    def prune_handovers(self, present: Assignment) -> None:
         """Drop handovers of segments that were cut, joined or moved since."""
         if len(self.handovers_by_fence) <= 2 * len(present.segments):
             return
@@ -86,7 +86,7 @@
                 limit=RELEASE_TIMEOUT,
             )
         except TargetReplacedError:
-            self._sessions.of(target.id).is_gone = True
+            self._sessions.get_or_create(target.id).is_gone = True
             raise
         except UnexpectedAnswerError:
             session.note_failure(suspend_aware_now())
@@ -139,7 +139,7 @@
             last=segment.last,
             hold=hold,
             handover=self.handovers_by_fence.get(segment.fence),
-            fence_over=lambda connection: session.fence_over(
+            fence_over=lambda connection: session.fence_for_connection(
                 connection, segment.fence, self._fences.allocate
             ),
             preferred_connection=session.grant_connection,
@@ -155,7 +155,7 @@
                 target=target.id,
                 first=segment.first,
                 last=segment.last,
-                fence=session.sent_fence(segment.fence),
+                fence=session.last_sent_fence(segment.fence),
                 error=str(err),
             )
             session.note_answer()
@@ -193,7 +193,7 @@
         if found is None or found == target.name:
             return
         log_message(message_type="target_replaced", target=target.id, by=found)
-        self._sessions.of(target.id).is_gone = True
+        self._sessions.get_or_create(target.id).is_gone = True
         self._directory.note_replaced(target.id, suspend_aware_now())
 
     @callback
@@ -203,9 +203,9 @@
         A target that did not answer is asked again, but not beyond what it may hold
         anyway: else each try would put off the moment at which its keys are free.
         """
-        hold = self._usual_hold()
+        hold = self._regular_hold()
         if session.is_failing:
-            unextended = session.unextended_hold(now + CONTROL_TIMEOUT)
+            unextended = session.max_unextended_hold(now + CONTROL_TIMEOUT)
             return max(min(hold, unextended), MIN_HOLD)
         return hold
 
@@ -228,7 +228,9 @@
                 outcome = "not sent"
             case _:
                 outcome = "written"
-        if not session.unanswered.is_due(now, outcome, type(err.__cause__).__name__):
+        if not session.unanswered_log_filter.should_log(
+            now, outcome, type(err.__cause__).__name__
+        ):
             return
         log_message(
             message_type="grant_unanswered",
@@ -236,7 +238,7 @@
             target=target.id,
             first=segment.first,
             last=segment.last,
-            fence=session.sent_fence(segment.fence),
+            fence=session.last_sent_fence(segment.fence),
             recorded_fence=segment.fence,
             term=self._term,
             hold=hold,
--- a/swiftpin/keyranges/key_load.py
+++ b/swiftpin/keyranges/key_load.py
@@ -8,11 +8,11 @@
 
 from swiftpin.core import callback
 
-MEMORY: Final = 1.5
+DECAY_TIME: Final = 1.5
 """Seconds after which a request counts a third. Hot keys last some seconds, so a
 longer memory notices them late; a shorter one takes chance for a change."""
 
-SMALLEST: Final = 0.02
+MIN_RATE: Final = 0.02
 """Requests a second below which a key is forgotten."""
 
 
@@ -28,7 +28,7 @@
         """Count requests that arrived since the last call."""
         rates = self.rates_by_key
         for key, count in counts_by_key.items():
-            rates[key] = rates.get(key, 0.0) + count / MEMORY
+            rates[key] = rates.get(key, 0.0) + count / DECAY_TIME
 
     @callback
     def decay(self, now: float) -> None:
@@ -37,9 +37,9 @@
         self._faded_at = now
         if since is None or now <= since:
             return
-        factor = math.exp((since - now) / MEMORY)
+        factor = math.exp((since - now) / DECAY_TIME)
         self.rates_by_key = {
             key: faded
             for key, rate in self.rates_by_key.items()
-            if (faded := rate * factor) > SMALLEST
+            if (faded := rate * factor) > MIN_RATE
         }
--- a/swiftpin/keyranges/key_map_publisher.py
+++ b/swiftpin/keyranges/key_map_publisher.py
@@ -81,7 +81,7 @@
         owners: list[str] = []
         granted_fences = self._state.granted_fences
         for segment in self._state.current.segments:
-            is_served = not segment.former and segment.fence in granted_fences
+            is_served = not segment.former_owner and segment.fence in granted_fences
             owner = segment.owner if is_served else ""
             if owners and owners[-1] == owner:
                 continue
--- a/swiftpin/keyranges/move_runner.py
+++ b/swiftpin/keyranges/move_runner.py
@@ -33,26 +33,26 @@
         self._granter = granter
         self._mover = mover
         self._publisher = publisher
-        self._moves_by_first: dict[int, asyncio.Task[None]] = {}
+        self._tasks_by_first_key: dict[int, asyncio.Task[None]] = {}
 
     @callback
     def unload(self) -> None:
         """Stop all moves where they are; the record tells of them."""
-        for task in self._moves_by_first.values():
+        for task in self._tasks_by_first_key.values():
             task.cancel()
 
     @callback
     def start(self, segment: Segment, asked_at: float | None = None) -> None:
         """Begin to carry a recorded move out."""
         task = asyncio.create_task(self._async_move(segment, asked_at))
-        self._moves_by_first[segment.first] = task
+        self._tasks_by_first_key[segment.first] = task
         task.add_done_callback(lambda done: self._note_move_ended(segment.first, done))
 
     @callback
     def _note_move_ended(self, first: int, task: asyncio.Task[None]) -> None:
         """Forget a move that ended; report what should not happen."""
-        if self._moves_by_first.get(first) is task:
-            del self._moves_by_first[first]
+        if self._tasks_by_first_key.get(first) is task:
+            del self._tasks_by_first_key[first]
         if not task.cancelled() and (err := task.exception()) is not None:
             log_message(message_type="move_failed", level="error", error=repr(err))
 
@@ -62,13 +62,13 @@
         `asked_at` is when a release may have been sent of which nothing is known.
         """
         started_at = suspend_aware_now()
-        handover = await self._mover.async_take_back(segment, asked_at)
+        handover = await self._mover.async_release_former_owner(segment, asked_at)
         if handover is not None:
             self._granter.handovers_by_fence[segment.fence] = handover
         released_at = suspend_aware_now()
-        granted = await self._mover.async_grant_new(segment)
+        granted = await self._mover.async_grant_new_owner(segment)
         self._state.assignment = self._state.current.with_replaced(
-            segment, replace(segment, former="")
+            segment, replace(segment, former_owner="")
         )
         if granted:
             self._state.granted_fences.add(segment.fence)
--- a/swiftpin/keyranges/mover.py
+++ b/swiftpin/keyranges/mover.py
@@ -13,7 +13,7 @@
 from swiftpin.exceptions import TargetUnreachableError
 from swiftpin.helpers.clock import suspend_aware_now
 from swiftpin.keyranges.granter import Granter
-from swiftpin.keyranges.repeat_limit import RepeatLimit
+from swiftpin.keyranges.repeated_log_filter import RepeatedLogFilter
 from swiftpin.keyranges.segment import Segment
 from swiftpin.keyranges.target_sessions import TargetSessions
 from swiftpin.model.target import Target
@@ -24,7 +24,7 @@
     TargetReplacedError,
 )
 
-RETRY_PAUSE: Final = 0.15
+RETRY_INTERVAL: Final = 0.15
 """Seconds between two tries of the same call to a target."""
 
 
@@ -49,32 +49,32 @@
         granter: Granter,
         sessions: TargetSessions,
         directory: TargetDirectory,
-        longest_request: Callable[[], float],
+        max_request_time: Callable[[], float],
     ) -> None:
         self._granter = granter
         self._sessions = sessions
         self._directory = directory
-        self._longest_request = longest_request
+        self._max_request_time = max_request_time
 
-    async def async_take_back(
+    async def async_release_former_owner(
         self, segment: Segment, asked_at: float | None
     ) -> str | None:
         """Return the handover once the former owner certainly lets go of the keys."""
-        session = self._sessions.of(segment.former)
-        async with session.calls:
+        session = self._sessions.get_or_create(segment.former_owner)
+        async with session.renewal_lock:
             # Renewals that were under way when the record changed have ended.
             held_until = session.held_until
         grant = KeyGrant(
-            first=segment.first, last=segment.last, fence=self._granter.take_fence()
+            first=segment.first, last=segment.last, fence=self._granter.allocate_fence()
         )
-        told = RepeatLimit()
+        told = RepeatedLogFilter()
         while True:
             now = suspend_aware_now()
             if session.is_gone or now >= held_until:
                 reason = "gone" if session.is_gone else "its grants have ended"
                 _log_release(segment, grant.fence, "needless", reason)
                 return None
-            target = self._holder(segment.former)
+            target = self._holder(segment.former_owner)
             if target is None:
                 # Its entry, or that of a later life, may still come.
                 await self._async_pause(held_until)
@@ -82,19 +82,19 @@
             try:
                 handover = await self._granter.async_release(target, grant, session)
             except TargetReplacedError as err:
-                if self._has_address(segment.former, target):
+                if self._has_address(segment.former_owner, target):
                     _log_release(segment, grant.fence, "needless", str(err))
                     session.is_gone = True
                     return None
-                if told.is_due(now, "misdirected"):
+                if told.should_log(now, "misdirected"):
                     _log_release(segment, grant.fence, "misdirected", str(err))
                 await self._async_pause(held_until)
             except TargetNotReachedError as err:
-                if told.is_due(now, "not sent", _reason_class(err)):
+                if told.should_log(now, "not sent", _reason_class(err)):
                     _log_release(segment, grant.fence, "not sent", str(err))
                 await self._async_pause(held_until)
             except (TargetUnreachableError, GrantRefusedError) as err:
-                if told.is_due(now, "unanswered", _reason_class(err)):
+                if told.should_log(now, "unanswered", _reason_class(err)):
                     _log_release(segment, grant.fence, "unanswered", str(err))
                 # It may have taken the keys, until now, and let their work run on. Any
                 # of several tries may be the one that did, so the last one counts.
@@ -102,7 +102,7 @@
                 if not session.is_gone:
                     await self._async_pause(held_until)
             else:
-                if target.id != segment.former:
+                if target.id != segment.former_owner:
                     _log_later_life(segment, grant.fence, target)
                 # An unanswered release may have reached the later life already.
                 await self._async_wait_work(asked_at, held_until)
@@ -129,7 +129,7 @@
     async def _async_pause(self, until: float) -> None:
         """Wait before the next try, at most until a time."""
         left = until - suspend_aware_now()
-        await asyncio.sleep(max(min(RETRY_PAUSE, left), 0.0))
+        await asyncio.sleep(max(min(RETRY_INTERVAL, left), 0.0))
 
     async def _async_wait_work(self, asked_at: float | None, until: float) -> None:
         """Wait for work that an earlier release may have left running.
@@ -140,12 +140,12 @@
         """
         if asked_at is None:
             return
-        ends_at = min(asked_at + self._longest_request(), until)
+        ends_at = min(asked_at + self._max_request_time(), until)
         await asyncio.sleep(max(ends_at - suspend_aware_now(), 0.0))
 
-    async def async_grant_new(self, segment: Segment) -> bool:
+    async def async_grant_new_owner(self, segment: Segment) -> bool:
         """Grant keys to their new owner; return whether it took them."""
-        session = self._sessions.of(segment.owner)
+        session = self._sessions.get_or_create(segment.owner)
         while True:
             target = self._directory.targets_by_id.get(segment.owner)
             now = suspend_aware_now()
@@ -155,7 +155,7 @@
                 return False
             if await self._granter.async_grant(target, segment, session):
                 return True
-            await asyncio.sleep(RETRY_PAUSE)
+            await asyncio.sleep(RETRY_INTERVAL)
 
 
 @callback
@@ -170,7 +170,7 @@
     log_message(
         message_type="release_failed",
         level="warning",
-        target=segment.former,
+        target=segment.former_owner,
         first=segment.first,
         last=segment.last,
         fence=fence,
@@ -184,7 +184,7 @@
     """Write a line for keys whose owner has started again since it got them."""
     log_message(
         message_type="released_by_later_life",
-        target=segment.former,
+        target=segment.former_owner,
         by=holder.id,
         first=segment.first,
         last=segment.last,
--- a/swiftpin/keyranges/plan_balance.py
+++ b/swiftpin/keyranges/plan_balance.py
@@ -7,27 +7,27 @@
 from typing import Final
 
 from swiftpin.keyranges.assignment import Assignment
-from swiftpin.keyranges.key_load import MEMORY
+from swiftpin.keyranges.key_load import DECAY_TIME
 from swiftpin.keyranges.key_windows import hottest_segment, hottest_window
 from swiftpin.keyranges.move import Move
 from swiftpin.keyranges.segment import Segment
 from swiftpin.keyranges.target_share import TargetShare, mean_utilization
 
-BUSY: Final = 0.55
+BUSY_UTILIZATION: Final = 0.55
 """Utilization below which a target is left alone: queues are short there."""
 
-IMBALANCE: Final = 1.2
+MAX_IMBALANCE: Final = 1.2
 """How far above the mean a target's utilization is before it gives keys away."""
 
-CHANCE: Final = 1.5
+MIN_EXCESS_DEVIATIONS: Final = 1.5
 """Standard deviations by which a target's load must exceed the level: a rate that was
 counted over a second and a half is off by a quarter at ten requests a second, and moves
 after chance cut the keys into thousands of pieces."""
 
-MOST_MOVES: Final = 24
+MAX_MOVES_PER_PLAN: Final = 24
 """Moves planned at a time; each costs a release and a grant."""
 
-SMALLEST_ROOM: Final = 0.05
+MIN_SPARE_CAPACITY_SHARE: Final = 0.05
 """Share of a target's capacity that must be free for it to take keys."""
 
 
@@ -38,7 +38,7 @@
     planned: list[Move],
     *,
     may_cut: bool = True,
-    limited: Collection[str] = (),
+    limited_targets: Collection[str] = (),
 ) -> list[Move]:
     """Return moves of busy keys from the busiest targets to those with room.
 
@@ -46,21 +46,21 @@
     get their first keys here.
     """
     mean = mean_utilization(shares)
-    level = max(mean, BUSY * 0.7)
+    level = max(mean, BUSY_UTILIZATION * 0.7)
     moves: list[Move] = []
     # What is planned shows as segments with a former owner; those are left alone.
     working = assignment.with_moves(planned, 0)
     donors = sorted(shares, key=lambda name: shares[name].utilization, reverse=True)
     for name in donors:
-        if shares[name].utilization < max(BUSY, mean * IMBALANCE):
+        if shares[name].utilization < max(BUSY_UTILIZATION, mean * MAX_IMBALANCE):
             break
-        has_idle = any(not shares[target].load for target in limited)
+        has_idle = any(not shares[target].load for target in limited_targets)
         if not has_idle and not _is_certain(shares[name], level):
             continue
         relief = _relieve(name, working, shares, rates_by_key, level, may_cut=may_cut)
         moves += relief
         working = working.with_moves(relief, 0)
-        if len(moves) + len(planned) >= MOST_MOVES:
+        if len(moves) + len(planned) >= MAX_MOVES_PER_PLAN:
             break
     return moves
 
@@ -68,7 +68,7 @@
 def _is_certain(share: TargetShare, level: float) -> bool:
     """Return whether a target's load exceeds the level by more than chance."""
     excess = share.load - level * share.capacity
-    return excess > CHANCE * math.sqrt(share.load / MEMORY)
+    return excess > MIN_EXCESS_DEVIATIONS * math.sqrt(share.load / DECAY_TIME)
 
 
 def _relieve(
@@ -85,12 +85,12 @@
     moves: list[Move] = []
     working = assignment
     left = [key for key in share.keys if _may_leave(working.segment_of(key), name)]
-    while left and len(moves) < MOST_MOVES:
+    while left and len(moves) < MAX_MOVES_PER_PLAN:
         excess = share.load - level * share.capacity
         to = min(shares, key=lambda target: shares[target].utilization)
         room = level * shares[to].capacity - shares[to].load
         amount = min(excess, room) if may_cut else _even_amount(share, shares[to])
-        if to == name or amount < SMALLEST_ROOM * shares[to].capacity:
+        if to == name or amount < MIN_SPARE_CAPACITY_SHARE * shares[to].capacity:
             break
         choose = hottest_window if may_cut else hottest_segment
         window = choose(left, working, rates_by_key, amount)
@@ -123,4 +123,4 @@
 
 def _may_leave(segment: Segment, owner: str) -> bool:
     """Return whether a segment is the owner's and not on the move."""
-    return segment.owner == owner and not segment.former
+    return segment.owner == owner and not segment.former_owner
--- a/swiftpin/keyranges/plan_hot_keys.py
+++ b/swiftpin/keyranges/plan_hot_keys.py
@@ -11,11 +11,11 @@
 from swiftpin.keyranges.target_share import TargetShare
 from swiftpin.keyranges.target_speed import CapacityBounds
 
-ALONE: Final = 0.8
+MIN_HOT_KEY_SHARE: Final = 0.8
 """Part of its owner's capacity that one key must ask for to be moved by itself. Below
 it the owner serves the key once its other keys have left."""
 
-FASTER: Final = 1.5
+MIN_CAPACITY_RATIO: Final = 1.5
 """By how much the new owner must bear more than the present one, at least, to be worth
 a move: while it is released the key is unserved for as long as its longest request, and
 an owner at its limit looks slower than one that idles."""
@@ -49,14 +49,17 @@
             continue
         key = max(share.keys, key=rates_by_key.__getitem__)
         rate = rates_by_key[key]
-        if rate < ALONE * share.capacity or assignment.segment_of(key).former:
+        if (
+            rate < MIN_HOT_KEY_SHARE * share.capacity
+            or assignment.segment_of(key).former_owner
+        ):
             continue
         room_by_target = {
             other: bounds_by_target[other].low - _hottest_rate(candidate, rates_by_key)
             for other, candidate in shares.items()
         }
         to = max(room_by_target, key=room_by_target.__getitem__)
-        if room_by_target[to] < FASTER * bounds_by_target[name].high:
+        if room_by_target[to] < MIN_CAPACITY_RATIO * bounds_by_target[name].high:
             continue
         moves.append(Move(first=key, last=key, source=name, to=to))
         share.load -= rate
--- a/swiftpin/keyranges/plan_newcomers.py
+++ b/swiftpin/keyranges/plan_new_targets.py
@@ -10,24 +10,24 @@
 from swiftpin.keyranges.target_share import TargetShare
 
 
-def plan_newcomers(
+def plan_new_targets(
     assignment: Assignment,
     shares: dict[str, TargetShare],
     planned: list[Move],
-    limited: Collection[str] = (),
+    limited_targets: Collection[str] = (),
 ) -> list[Move]:
     """Return a first range for each target that owns nothing and is not limited."""
     moves: list[Move] = []
     fed = {move.to for move in planned}
     taken = {(move.first, move.last) for move in planned}
     for target, share in shares.items():
-        if share.width or target in fed or target in limited:
+        if share.width or target in fed or target in limited_targets:
             continue
         segments = [
             segment
             for segment in assignment.segments
             if segment.owner in shares
-            and not segment.former
+            and not segment.former_owner
             and segment.width > 1
             and (segment.first, segment.last) not in taken
         ]
--- a/swiftpin/keyranges/plan_rescue.py
+++ b/swiftpin/keyranges/plan_reassignments.py
@@ -11,11 +11,11 @@
 from swiftpin.keyranges.segment import Segment
 from swiftpin.keyranges.target_share import TargetShare
 
-PIECES: Final = 4
+PARTS_PER_SEGMENT: Final = 4
 """Parts into which the keys of a leaving target are cut at least, to spread them."""
 
 
-def plan_rescue(
+def plan_reassignments(
     assignment: Assignment,
     shares: dict[str, TargetShare],
     rates_by_key: Mapping[int, float],
@@ -24,7 +24,7 @@
     moves = []
     keys = sorted(rates_by_key)
     for segment in assignment.segments:
-        if segment.owner in shares or segment.former:
+        if segment.owner in shares or segment.former_owner:
             continue
         for first, last in _pieces(segment):
             to = min(shares, key=lambda target: _pressure(shares[target]))
@@ -42,6 +42,10 @@
 
 def _pieces(segment: Segment) -> list[tuple[int, int]]:
     """Return the parts into which a lost segment is cut."""
-    count = min(PIECES, segment.width) if segment.width > PIECES * 64 else 1
+    count = (
+        min(PARTS_PER_SEGMENT, segment.width)
+        if segment.width > PARTS_PER_SEGMENT * 64
+        else 1
+    )
     bounds = [segment.first + segment.width * i // count for i in range(count + 1)]
     return [(bounds[i], bounds[i + 1] - 1) for i in range(count)]
--- a/swiftpin/keyranges/range_assigner.py
+++ b/swiftpin/keyranges/range_assigner.py
@@ -70,7 +70,7 @@
         health_path: str,
         on_map: Callable[[KeyMap], None],
         count_members: Callable[[], int],
-        longest_request: Callable[[], float],
+        max_request_time: Callable[[], float],
         get_service_spec: Callable[[], ServiceSpec],
     ) -> None:
         self.load = KeyLoad()
@@ -92,7 +92,7 @@
             sessions=self._sessions,
             directory=directory,
             health_path=health_path,
-            usual_hold=self._usual_hold,
+            regular_hold=self._regular_hold,
             fences=fences,
             term=lease.term,
         )
@@ -128,7 +128,7 @@
                 granter=self._granter,
                 sessions=self._sessions,
                 directory=directory,
-                longest_request=longest_request,
+                max_request_time=max_request_time,
             ),
             publisher=self._publisher,
         )
@@ -149,7 +149,7 @@
         assignment = await self._loader.async_load(self._took_over_at)
         self._state.assignment = assignment
         for segment in assignment.segments:
-            if segment.former:
+            if segment.former_owner:
                 # The previous assigner may have sent a release for this move. It can't
                 # arrive later than the time at which the kernel stops delivering it.
                 self._moves.start(segment, self._took_over_at + CONTROL_TIMEOUT)
@@ -158,7 +158,7 @@
         self._publisher.publish()
 
     @callback
-    def _usual_hold(self) -> float:
+    def _regular_hold(self) -> float:
         """Return the duration of a grant to a target that answers, in seconds."""
         present = self._state.current
         return self._hold_limit.next_hold(
@@ -202,10 +202,10 @@
     def _prune_state(self, now: float) -> None:
         """Remove the state of target lives that are gone; each start adds a new one."""
         involved = self._state.involved_targets()
-        self._sessions.forget(involved, now)
+        self._sessions.prune(involved, now)
         self._state.prune_granted_fences()
-        self._granter.forget_handovers(self._state.current)
-        self.speed.keep(involved | self._directory.targets_by_id.keys())
+        self._granter.prune_handovers(self._state.current)
+        self.speed.retain_targets(involved | self._directory.targets_by_id.keys())
 
     async def _async_plan_once(self, now: float) -> None:
         """Plan, record and start moves."""
@@ -220,7 +220,7 @@
             capacities,
             self.load.rates_by_key,
             bounds,
-            limited=self._limited_targets(now) & capacities.keys(),
+            limited_targets=self._limited_targets(now) & capacities.keys(),
         )
         merged, merged_fences = current.with_merged_neighbours(
             self._fences.next_fence, MAX_MERGED_SEGMENTS
@@ -242,7 +242,7 @@
         self._state.assignment = planned.without_finished_moves(self._state.current)
         self._log_moves(moves, first_fence)
         for segment in self._state.current.segments:
-            if segment.former and segment.fence >= first_fence:
+            if segment.former_owner and segment.fence >= first_fence:
                 self._moves.start(segment)
         self._publisher.publish()
 
--- a/swiftpin/keyranges/repeat_limit.py
+++ b/swiftpin/keyranges/repeated_log_filter.py
@@ -7,7 +7,7 @@
 from swiftpin.core import callback
 
 
-class RepeatLimit:
+class RepeatedLogFilter:
     """Lets a line through when what it tells changed, or after an interval."""
 
     def __init__(self, interval: float = math.inf) -> None:
@@ -16,7 +16,7 @@
         self._told_at = -math.inf
 
     @callback
-    def is_due(self, now: float, *told: str) -> bool:
+    def should_log(self, now: float, *told: str) -> bool:
         """Return whether to write a line now; note that it is written then."""
         if told == self._told and now - self._told_at < self._interval:
             return False
--- a/swiftpin/keyranges/segment.py
+++ b/swiftpin/keyranges/segment.py
@@ -18,7 +18,7 @@
     """Fence under which the segment was recorded. It names the segment; each call has a
     fence of its own, taken when it is sent."""
 
-    former: str = ""
+    former_owner: str = ""
     """Target that may still hold the keys; empty when none does."""
 
     @property
--- a/swiftpin/keyranges/target_session.py
+++ b/swiftpin/keyranges/target_session.py
@@ -9,9 +9,9 @@
 
 from swiftpin.core import callback
 from swiftpin.keyranges.const import CLOCK_DRIFT_FACTOR, HOLD_MARGIN
-from swiftpin.keyranges.repeat_limit import RepeatLimit
+from swiftpin.keyranges.repeated_log_filter import RepeatedLogFilter
 
-SILENT_LIMIT: Final = 1.2
+SILENCE_TIMEOUT: Final = 1.2
 """Seconds without an answer to any call after which a target's keys go elsewhere."""
 
 UNANSWERED_LOG_INTERVAL: Final = 1.0
@@ -39,8 +39,8 @@
     """
 
     def __init__(self) -> None:
-        self.unanswered = RepeatLimit(UNANSWERED_LOG_INTERVAL)
-        self.calls = asyncio.Lock()
+        self.unanswered_log_filter = RepeatedLogFilter(UNANSWERED_LOG_INTERVAL)
+        self.renewal_lock = asyncio.Lock()
         """Held while renewals are under way, so that none overtakes a release."""
 
         self.held_until = 0.0
@@ -59,7 +59,7 @@
         """Fences in use, by the fence under which a segment was recorded."""
 
     @callback
-    def fence_over(
+    def fence_for_connection(
         self, connection: int, segment_fence: int, take: Callable[[], int]
     ) -> int:
         """Return the fence that a segment is granted under over a connection.
@@ -74,7 +74,7 @@
         return sent.fence
 
     @callback
-    def sent_fence(self, segment_fence: int) -> int | None:
+    def last_sent_fence(self, segment_fence: int) -> int | None:
         """Return the fence sent last for a segment, None before the first."""
         sent = self._sent_by_segment.get(segment_fence)
         return None if sent is None else sent.fence
@@ -85,7 +85,7 @@
         self._sent_by_segment.pop(segment_fence, None)
 
     @callback
-    def keep_fences(self, segment_fences: set[int]) -> None:
+    def retain_fences(self, segment_fences: set[int]) -> None:
         """Forget the fences of all other segments."""
         for segment_fence in self._sent_by_segment.keys() - segment_fences:
             del self._sent_by_segment[segment_fence]
@@ -101,7 +101,7 @@
         self.held_until = max(self.held_until, ends_at)
 
     @callback
-    def unextended_hold(self, now: float) -> float:
+    def max_unextended_hold(self, now: float) -> float:
         """Return the longest grant that ends no later than those sent already."""
         return (self.held_until - now - HOLD_MARGIN) / CLOCK_DRIFT_FACTOR
 
@@ -127,4 +127,4 @@
         if self.is_gone:
             return True
         since = self._failing_since
-        return since is not None and now - since >= SILENT_LIMIT
+        return since is not None and now - since >= SILENCE_TIMEOUT
--- a/swiftpin/keyranges/target_sessions.py
+++ b/swiftpin/keyranges/target_sessions.py
@@ -21,7 +21,7 @@
         self._sessions_by_target: dict[str, TargetSession] = {}
 
     @callback
-    def of(self, target_id: str) -> TargetSession:
+    def get_or_create(self, target_id: str) -> TargetSession:
         """Return the session with a life of a target."""
         session = self._sessions_by_target.get(target_id)
         if session is None:
@@ -46,7 +46,7 @@
         return session is not None and session.is_lost(now)
 
     @callback
-    def forget(self, needed_ids: set[str], now: float) -> None:
+    def prune(self, needed_ids: set[str], now: float) -> None:
         """Drop sessions with targets that are gone and hold nothing any more."""
         known_ids = needed_ids | self._directory.targets_by_id.keys()
         for target_id in self._sessions_by_target.keys() - known_ids:
--- a/swiftpin/keyranges/target_speed.py
+++ b/swiftpin/keyranges/target_speed.py
@@ -7,20 +7,20 @@
 
 from swiftpin.core import callback
 
-WEIGHT: Final = 0.12
+OBSERVATION_WEIGHT: Final = 0.12
 """Weight of one observation; work differs by request, so single ones say little."""
 
-STEADY_WEIGHT: Final = 0.03
+LONG_TERM_WEIGHT: Final = 0.03
 """Weight of one observation in a target's steady factor. Times of requests that spread
 by half of their mean leave that within 6%, and the usual factor within 12%; among a
 dozen targets of one speed some then seem half as fast again as others."""
 
-FIRST_TIME: Final = 0.2
+INITIAL_REQUEST_TIME: Final = 0.2
 """Seconds assumed for a request before any was seen; a guess that a dozen requests
 replace."""
 
-SLOWEST: Final = 8.0
-FASTEST: Final = 0.25
+MAX_FACTOR: Final = 8.0
+MIN_FACTOR: Final = 0.25
 """Bounds of a target's factor: a target that seems to stand still still gets a key now
 and then, else one would never see it recover."""
 
@@ -39,7 +39,7 @@
     """Mean time of a service's requests, and each target's factor of it."""
 
     def __init__(self) -> None:
-        self.mean_time = FIRST_TIME
+        self.mean_time = INITIAL_REQUEST_TIME
         self._factors_by_target: dict[str, float] = {}
         self._steady_factors_by_target: dict[str, float] = {}
         self._errors_by_target: dict[str, float] = {}
@@ -52,13 +52,13 @@
         if failed:
             return
         factor = self._factors_by_target.get(target, 1.0)
-        seen = min(max(seconds / self.mean_time, FASTEST), SLOWEST)
+        seen = min(max(seconds / self.mean_time, MIN_FACTOR), MAX_FACTOR)
         self._note_factor(target, seen)
-        expected = seconds / max(factor, FASTEST)
-        self.mean_time += WEIGHT / 4 * (expected - self.mean_time)
+        expected = seconds / max(factor, MIN_FACTOR)
+        self.mean_time += OBSERVATION_WEIGHT / 4 * (expected - self.mean_time)
 
     @callback
-    def add_cut(self, target: str, seconds: float) -> None:
+    def add_abandoned(self, target: str, seconds: float) -> None:
         """Take a request that was given up: it would have taken at least as long.
 
         A target that turned slow answers none in time; counted by its answers alone it
@@ -66,14 +66,14 @@
         """
         factor = self._factors_by_target.get(target, 1.0)
         if seconds > factor * self.mean_time:
-            self._note_factor(target, min(seconds / self.mean_time, SLOWEST))
+            self._note_factor(target, min(seconds / self.mean_time, MAX_FACTOR))
 
     @callback
     def capacity(self, target: str, slots: int) -> float:
         """Return the requests a second that a target can bear."""
         factor = self._factors_by_target.get(target, 1.0)
         good = 1.0 - min(self._errors_by_target.get(target, 0.0), 0.9)
-        return slots * good / (self.mean_time * max(factor, FASTEST))
+        return slots * good / (self.mean_time * max(factor, MIN_FACTOR))
 
     @callback
     def capacity_bounds(self, target: str, slots: int) -> CapacityBounds:
@@ -85,11 +85,11 @@
         usual = self.capacity(target, slots)
         factor = self._factors_by_target.get(target, 1.0)
         steady_factor = self._steady_factors_by_target.get(target, 1.0)
-        steady = usual * max(factor, FASTEST) / max(steady_factor, FASTEST)
+        steady = usual * max(factor, MIN_FACTOR) / max(steady_factor, MIN_FACTOR)
         return CapacityBounds(low=min(usual, steady), high=max(usual, steady))
 
     @callback
-    def keep(self, targets: set[str]) -> None:
+    def retain_targets(self, targets: set[str]) -> None:
         """Drop what is known of all other targets."""
         for by_target in (
             self._factors_by_target,
@@ -103,8 +103,8 @@
     def _note_factor(self, target: str, seen: float) -> None:
         """Take a request's time as a multiple of the mean."""
         for factors, weight in (
-            (self._factors_by_target, WEIGHT),
-            (self._steady_factors_by_target, STEADY_WEIGHT),
+            (self._factors_by_target, OBSERVATION_WEIGHT),
+            (self._steady_factors_by_target, LONG_TERM_WEIGHT),
         ):
             factor = factors.get(target, 1.0)
             factors[target] = factor + weight * (seen - factor)
--- a/swiftpin/router/assigner_factory.py
+++ b/swiftpin/router/assigner_factory.py
@@ -73,7 +73,7 @@
             health_path=configuration.services_by_name[service].health_path,
             on_map=self._key_maps.publish,
             count_members=lambda: self._permits.issuers.members,
-            longest_request=self._max_request_time,
+            max_request_time=self._max_request_time,
             get_service_spec=partial(
                 self._current_spec, configuration.services_by_name[service]
             ),
--- a/swiftpin/router/leader.py
+++ b/swiftpin/router/leader.py
@@ -76,7 +76,7 @@
             for seconds in times.seconds:
                 assigner.speed.add(times.target, seconds, failed=False)
             for seconds in times.cut_seconds:
-                assigner.speed.add_cut(times.target, seconds)
+                assigner.speed.add_abandoned(times.target, seconds)
             for _ in range(times.failures):
                 assigner.speed.add(times.target, 0.0, failed=True)
 
--- a/tests/keyranges/test_assignment.py
+++ b/tests/keyranges/test_assignment.py
@@ -49,7 +49,7 @@
     )
     assert covered_keys(moved) == list(range(KEY_COUNT))
     assert moved.segment_of(15).owner == "b"
-    assert moved.segment_of(15).former == "a"
+    assert moved.segment_of(15).former_owner == "a"
     assert moved.segment_of(15).fence == 100
     assert moved.segment_of(9).fence == 7
 
@@ -74,7 +74,7 @@
     assert after_move.with_merged_neighbours(90, 10)[1] == []
     after_return = Assignment(
         segments=tuple(
-            replace(s, owner="a", former="") for s in after_move.segments[:3]
+            replace(s, owner="a", former_owner="") for s in after_move.segments[:3]
         )
         + after_move.segments[3:]
     )
@@ -116,9 +116,9 @@
     moving = assignment.with_moves([Move(first=0, last=9, source="a", to="c")], 50)
     planned = moving.with_moves([Move(first=20, last=29, source="a", to="b")], 60)
     ended = moving.with_replaced(
-        moving.segments[0], replace(moving.segments[0], former="")
+        moving.segments[0], replace(moving.segments[0], former_owner="")
     )
     after = planned.without_finished_moves(ended)
-    assert after.segment_of(5).former == ""
-    assert after.segment_of(25).former == "a"
+    assert after.segment_of(5).former_owner == ""
+    assert after.segment_of(25).former_owner == "a"
     assert planned.without_finished_moves(moving) == planned
--- a/tests/keyranges/test_assignment_loader.py
+++ b/tests/keyranges/test_assignment_loader.py
@@ -71,7 +71,7 @@
         sessions=sessions,
         directory=directory,
         health_path="/health",
-        usual_hold=lambda: 0.0,
+        regular_hold=lambda: 0.0,
         fences=Fences(),
         term=1,
     )
@@ -114,14 +114,16 @@
     considered them expired too early.
     """
     record.assignment = Assignment(
-        segments=(Segment(first=0, last=65535, owner="b@1", fence=5, former="a@1"),),
+        segments=(
+            Segment(first=0, last=65535, owner="b@1", fence=5, former_owner="a@1"),
+        ),
         max_hold=recorded,
     )
     loader = make_loader()
     assert await loader.async_load(100.0) == record.assignment
     ends_at = 100.0 + CONTROL_TIMEOUT + hold * CLOCK_DRIFT_FACTOR + HOLD_MARGIN
-    assert sessions.of("a@1").held_until == pytest.approx(ends_at)
-    assert sessions.of("b@1").held_until == pytest.approx(ends_at)
+    assert sessions.get_or_create("a@1").held_until == pytest.approx(ends_at)
+    assert sessions.get_or_create("b@1").held_until == pytest.approx(ends_at)
     assert not loader.is_new_assignment
 
 
--- a/tests/keyranges/test_assignment_state.py
+++ b/tests/keyranges/test_assignment_state.py
@@ -17,7 +17,7 @@
     state.assignment = Assignment(
         segments=(
             Segment(first=0, last=32767, owner="a", fence=5),
-            Segment(first=32768, last=65535, owner="b", fence=6, former="c"),
+            Segment(first=32768, last=65535, owner="b", fence=6, former_owner="c"),
         )
     )
     return state
--- a/tests/keyranges/test_grant_renewer.py
+++ b/tests/keyranges/test_grant_renewer.py
@@ -70,7 +70,7 @@
             Segment(first=0, last=99, owner="a@1", fence=5),
             Segment(first=100, last=199, owner="b@1", fence=6),
             Segment(first=200, last=299, owner="a@1", fence=7),
-            Segment(first=300, last=65535, owner="a@1", fence=8, former="b@1"),
+            Segment(first=300, last=65535, owner="a@1", fence=8, former_owner="b@1"),
         )
     )
     return state
@@ -99,7 +99,7 @@
             sessions=sessions,
             directory=directory,
             health_path="/health",
-            usual_hold=lambda: MIN_REGULAR_HOLD,
+            regular_hold=lambda: MIN_REGULAR_HOLD,
             fences=Fences(),
             term=1,
         ),
@@ -158,9 +158,9 @@
     Sequence: keys on the move were granted to a target while its other grants were
     renewed. Cause: the renewal forgot the fences of all that it does not renew.
     """
-    session = sessions.of("a@1")
-    session.fence_over(1, 8, lambda: 77)
-    session.fence_over(1, 99, lambda: 78)
+    session = sessions.get_or_create("a@1")
+    session.fence_for_connection(1, 8, lambda: 77)
+    session.fence_for_connection(1, 99, lambda: 78)
     await renewer.async_renew("a@1")
-    assert session.sent_fence(8) == 77
-    assert session.sent_fence(99) is None
+    assert session.last_sent_fence(8) == 77
+    assert session.last_sent_fence(99) is None
--- a/tests/keyranges/test_granter.py
+++ b/tests/keyranges/test_granter.py
@@ -87,7 +87,7 @@
         sessions=sessions,
         directory=directory,
         health_path="/health",
-        usual_hold=lambda: MIN_REGULAR_HOLD,
+        regular_hold=lambda: MIN_REGULAR_HOLD,
         fences=Fences(),
         term=1,
     )
@@ -101,7 +101,7 @@
     Sequence: its grants were renewed again and again without an answer.
     Cause: each try counted as a grant that the target may have taken.
     """
-    session = sessions.of("a")
+    session = sessions.get_or_create("a")
     control.loses_answers = True
     started = suspend_aware_now()
     for _ in range(5):
@@ -119,7 +119,7 @@
     answered; the next renewal came later than that grant's end.
     Cause: the trial was taken for a full renewal.
     """
-    session = sessions.of("a")
+    session = sessions.get_or_create("a")
     session.note_failure(suspend_aware_now())
     assert await granter.async_grant(TARGET, SEGMENT, session)
     assert control.holds[0] < 1.0
@@ -140,7 +140,7 @@
     that. Cause: its end was counted from the sending, but the target counts from the
     arrival, which may be as late as the answer, or the moment at which it is given up.
     """
-    session = sessions.of("a")
+    session = sessions.get_or_create("a")
     control.loses_answers = loses_answers
     control.delay = 0.5
     started = suspend_aware_now()
@@ -152,7 +152,7 @@
     granter: Granter, control: FakeControl, sessions: TargetSessions
 ) -> None:
     """At rest no fence is spent, and every renewal goes over the same connection."""
-    session = sessions.of("a")
+    session = sessions.get_or_create("a")
     for _ in range(3):
         assert await granter.async_grant(TARGET, SEGMENT, session)
     assert len(set(control.fences)) == 1
@@ -167,7 +167,7 @@
     Sequence: a target started again under its name, and its connections broke; the
     next renewal went over a new one. Cause: it repeated the fence.
     """
-    session = sessions.of("a")
+    session = sessions.get_or_create("a")
     assert await granter.async_grant(TARGET, SEGMENT, session)
     control.connection += 1
     assert await granter.async_grant(TARGET, SEGMENT, session)
@@ -182,7 +182,7 @@
     Sequence: a grant reached a target, which ended before it answered; the second try
     reached its next life. Cause: the second try repeated the fence.
     """
-    session = sessions.of("a")
+    session = sessions.get_or_create("a")
     control.loses_answers = True
     assert not await granter.async_grant(TARGET, SEGMENT, session)
     control.loses_answers = False
@@ -198,7 +198,7 @@
     Sequence: a target refused connections for hours, four times a second.
     Cause: each try took a fence, though nothing was sent.
     """
-    session = sessions.of("a")
+    session = sessions.get_or_create("a")
     before = granter._fences.next_fence
     control.refuses_connections = True
     assert not await granter.async_grant(TARGET, SEGMENT, session)
@@ -209,7 +209,7 @@
     granter: Granter, control: FakeControl, sessions: TargetSessions
 ) -> None:
     """A target that has seen a higher fence keeps the keys that are its own."""
-    session = sessions.of("a")
+    session = sessions.get_or_create("a")
     control.seen_fence = 2
     assert await granter.async_grant(TARGET, SEGMENT, session)
     assert control.fences == [1, 2]
@@ -220,7 +220,7 @@
 ) -> None:
     """Where another instance grants under higher fences, two tries are made."""
     control.seen_fence = 99
-    assert not await granter.async_grant(TARGET, SEGMENT, sessions.of("a"))
+    assert not await granter.async_grant(TARGET, SEGMENT, sessions.get_or_create("a"))
     assert len(control.fences) == 2
 
 
@@ -235,7 +235,7 @@
     Sequence: grants to a silent target were given up. Cause: only the first failure of
     a target was told, without keys, fence and hold.
     """
-    session = sessions.of("a")
+    session = sessions.get_or_create("a")
     control.loses_answers = True
     for _ in range(3):
         await granter.async_grant(TARGET, SEGMENT, session)
@@ -252,5 +252,5 @@
 def test_handovers_of_segments_that_are_gone_are_forgotten(granter: Granter) -> None:
     """Each move leaves one behind; where keys are hot there are many a second."""
     granter.handovers_by_fence.update(dict.fromkeys(range(1, 9), "handover"))
-    granter.forget_handovers(Assignment(segments=(SEGMENT,)))
+    granter.prune_handovers(Assignment(segments=(SEGMENT,)))
     assert set(granter.handovers_by_fence) == {SEGMENT.fence}
--- a/tests/keyranges/test_key_map_publisher.py
+++ b/tests/keyranges/test_key_map_publisher.py
@@ -20,7 +20,7 @@
             Segment(first=0, last=9, owner="a", fence=5),
             Segment(first=10, last=19, owner="a", fence=6),
             Segment(first=20, last=29, owner="b", fence=7),
-            Segment(first=30, last=65535, owner="b", fence=8, former="a"),
+            Segment(first=30, last=65535, owner="b", fence=8, former_owner="a"),
         )
     )
     state.granted_fences = {5, 6, 8}
--- a/tests/keyranges/test_late_calls.py
+++ b/tests/keyranges/test_late_calls.py
@@ -56,7 +56,7 @@
 
 
 def make_mover(
-    control: ReleaseControl, directory: TargetDirectory, longest_request: float
+    control: ReleaseControl, directory: TargetDirectory, max_request_time: float
 ) -> tuple[Mover, TargetSessions]:
     """Return a mover, and the sessions that it looks at."""
     sessions = TargetSessions(directory)
@@ -65,7 +65,7 @@
         sessions=sessions,
         directory=directory,
         health_path="/health",
-        usual_hold=lambda: MIN_REGULAR_HOLD,
+        regular_hold=lambda: MIN_REGULAR_HOLD,
         fences=Fences(),
         term=1,
     )
@@ -73,7 +73,7 @@
         granter=granter,
         sessions=sessions,
         directory=directory,
-        longest_request=lambda: longest_request,
+        max_request_time=lambda: max_request_time,
     )
     return mover, sessions
 
@@ -91,9 +91,9 @@
     """
     control = ReleaseControl(losses=2)
     mover, sessions = make_mover(control, directory, 0.4)
-    sessions.of("a").note_grant(suspend_aware_now(), MIN_REGULAR_HOLD)
-    segment = Segment(first=0, last=9, owner="b", fence=7, former="a")
-    assert await mover.async_take_back(segment, None) == "handover"
+    sessions.get_or_create("a").note_grant(suspend_aware_now(), MIN_REGULAR_HOLD)
+    segment = Segment(first=0, last=9, owner="b", fence=7, former_owner="a")
+    assert await mover.async_release_former_owner(segment, None) == "handover"
     assert suspend_aware_now() >= control.releases_at[1] + 0.4
 
 
@@ -111,13 +111,13 @@
     directory._known.put(former, 0.0)
     control = ReleaseControl(losses=0)
     mover, sessions = make_mover(control, directory, 0.0)
-    session = sessions.of(former.id)
+    session = sessions.get_or_create(former.id)
     session.note_grant(suspend_aware_now(), 0.5)
     directory._known.put(
         make_target("a", started_ms=2, revision=2, address="host:1"), 0.0
     )
-    segment = Segment(first=0, last=9, owner="b", fence=7, former=former.id)
-    await mover.async_take_back(segment, None)
+    segment = Segment(first=0, last=9, owner="b", fence=7, former_owner=former.id)
+    await mover.async_release_former_owner(segment, None)
     assert control.releases_at or suspend_aware_now() >= session.held_until
 
 
--- a/tests/keyranges/test_late_records.py
+++ b/tests/keyranges/test_late_records.py
@@ -151,7 +151,7 @@
         health_path="/health",
         on_map=lambda key_map: None,
         count_members=lambda: 1,
-        longest_request=lambda: 0.0,
+        max_request_time=lambda: 0.0,
         get_service_spec=lambda: KEYED,
     )
     await assigner._async_load()
@@ -161,7 +161,7 @@
 
 async def async_wait_for_moves(assigner: RangeAssigner) -> None:
     """Wait until all moves have finished."""
-    while moves := assigner._moves._moves_by_first:
+    while moves := assigner._moves._tasks_by_first_key:
         await asyncio.gather(*moves.values())
 
 
@@ -277,7 +277,7 @@
     release found no keys and was answered at once, and the successor waited for the
     running requests only from the time of the takeover.
     """
-    moved = Segment(first=0, last=99, owner="b", fence=7, former="a")
+    moved = Segment(first=0, last=99, owner="b", fence=7, former_owner="a")
     store = LateStore(Assignment(segments=(moved, REST)))
     started_at = suspend_aware_now()
     await async_take_over(2, store, targets, directory)
--- a/tests/keyranges/test_move_runner.py
+++ b/tests/keyranges/test_move_runner.py
@@ -16,7 +16,7 @@
 from swiftpin.keyranges.mover import Mover
 from swiftpin.keyranges.segment import Segment
 
-MOVING = Segment(first=0, last=65535, owner="b", fence=7, former="a")
+MOVING = Segment(first=0, last=65535, owner="b", fence=7, former_owner="a")
 
 
 class ScriptedMover:
@@ -27,7 +27,7 @@
         self.is_granted = True
         self.fault: Exception | None = None
 
-    async def async_take_back(
+    async def async_release_former_owner(
         self, segment: Segment, asked_at: float | None
     ) -> str | None:
         """Wait for the former owner."""
@@ -36,7 +36,7 @@
             raise self.fault
         return "handover"
 
-    async def async_grant_new(self, segment: Segment) -> bool:
+    async def async_grant_new_owner(self, segment: Segment) -> bool:
         """Grant the new owner."""
         return self.is_granted
 
--- a/tests/keyranges/test_mover.py
+++ b/tests/keyranges/test_mover.py
@@ -33,7 +33,7 @@
 HOLD = 0.8
 """Seconds of the grant that the former owner has in these tests."""
 
-SEGMENT = Segment(first=0, last=9, owner="b", fence=5, former="a")
+SEGMENT = Segment(first=0, last=9, owner="b", fence=5, former_owner="a")
 
 
 class ReleaseControl:
@@ -83,14 +83,14 @@
         health_path="/health",
         fences=Fences(),
         term=1,
-        usual_hold=lambda: MIN_REGULAR_HOLD,
+        regular_hold=lambda: MIN_REGULAR_HOLD,
     )
 
 
 @pytest.fixture(name="session")
 def session_fixture(sessions: TargetSessions) -> TargetSession:
     """Return the session with the former owner, which holds a short grant."""
-    session = sessions.of("a")
+    session = sessions.get_or_create("a")
     session.note_grant(suspend_aware_now(), HOLD)
     return session
 
@@ -104,7 +104,7 @@
         granter=granter,
         sessions=sessions,
         directory=directory,
-        longest_request=lambda: 1.0,
+        max_request_time=lambda: 1.0,
     )
 
 
@@ -119,7 +119,7 @@
     were not waited for.
     """
     control.errors = lambda: TargetNotReachedError("a: Connection refused")
-    assert await mover.async_take_back(SEGMENT, None) is None
+    assert await mover.async_release_former_owner(SEGMENT, None) is None
     assert suspend_aware_now() >= session.held_until
     assert control.releases > 3
     assert not session.is_gone
@@ -134,7 +134,7 @@
     for a sign that the target holds nothing, though it says nothing about running work.
     """
     control.errors = lambda: GrantRefusedError("a has seen a higher fence")
-    assert await mover.async_take_back(SEGMENT, None) is None
+    assert await mover.async_release_former_owner(SEGMENT, None) is None
     assert suspend_aware_now() >= session.held_until
 
 
@@ -143,7 +143,7 @@
 ) -> None:
     """A target whose address another one has does not run any more."""
     control.errors = lambda: TargetReplacedError("c answers at a:1")
-    assert await mover.async_take_back(SEGMENT, None) is None
+    assert await mover.async_release_former_owner(SEGMENT, None) is None
     assert control.releases == 1
     assert suspend_aware_now() < session.held_until
 
@@ -160,7 +160,7 @@
     running one was taken for gone; it still held its keys and answered for them.
     """
     directory.replaced_ids.add("a")
-    assert await mover.async_take_back(SEGMENT, None) == "handover"
+    assert await mover.async_release_former_owner(SEGMENT, None) == "handover"
     assert control.addresses == ["a:1"]
     assert not session.is_gone
 
@@ -169,7 +169,7 @@
     mover: Mover, session: TargetSession
 ) -> None:
     """The former owner's answer frees its keys."""
-    assert await mover.async_take_back(SEGMENT, None) == "handover"
+    assert await mover.async_release_former_owner(SEGMENT, None) == "handover"
     assert suspend_aware_now() < session.held_until
 
 
@@ -196,7 +196,7 @@
     was taken for the end of all that was sent to the name, without asking the new life.
     """
     add_life(directory, 2, address)
-    assert await mover.async_take_back(SEGMENT, None) == "handover"
+    assert await mover.async_release_former_owner(SEGMENT, None) == "handover"
     assert control.addresses == [address]
     assert suspend_aware_now() < session.held_until
 
@@ -210,7 +210,7 @@
     """What was sent to the name may have reached the new life, so it counts."""
     add_life(directory, 2, "a:1")
     control.errors = lambda: TargetUnreachableError("a: no answer")
-    assert await mover.async_take_back(SEGMENT, None) is None
+    assert await mover.async_release_former_owner(SEGMENT, None) is None
     assert suspend_aware_now() >= session.held_until
 
 
@@ -228,7 +228,7 @@
     """
     add_life(directory, 2, "c:1")
     control.errors = lambda: TargetReplacedError("c answers at c:1")
-    assert await mover.async_take_back(SEGMENT, None) is None
+    assert await mover.async_release_former_owner(SEGMENT, None) is None
     assert suspend_aware_now() >= session.held_until
 
 
@@ -240,7 +240,7 @@
 ) -> None:
     """A successor knows only the present life, and asks it once it is known."""
     former = directory.targets_by_id.pop("a")
-    task = asyncio.create_task(mover.async_take_back(SEGMENT, None))
+    task = asyncio.create_task(mover.async_release_former_owner(SEGMENT, None))
     await asyncio.sleep(0)
     assert not control.addresses
     directory.targets_by_id["a"] = former
@@ -258,8 +258,8 @@
     Sequence: a renewal under a new fence was sent after the move had been planned; the
     release had the fence of the plan. Cause: the target had seen a higher one.
     """
-    sent = granter.take_fence()
-    await mover.async_take_back(SEGMENT, None)
+    sent = granter.allocate_fence()
+    await mover.async_release_former_owner(SEGMENT, None)
     assert control.fences[0] > sent
     assert suspend_aware_now() < session.held_until
 
@@ -277,7 +277,7 @@
     """
     errors = [TargetNotReachedError("refused"), TargetUnreachableError("lost")]
     control.errors = lambda: errors[control.releases > 2]
-    await mover.async_take_back(SEGMENT, None)
+    await mover.async_release_former_owner(SEGMENT, None)
     told = [line for line in lines if line["message_type"] == "release_failed"]
     assert control.releases > 3
     outcomes = [line["outcome"] for line in told]
--- a/tests/keyranges/test_plan_at_the_limit.py
+++ b/tests/keyranges/test_plan_at_the_limit.py
@@ -17,7 +17,7 @@
 
 from swiftpin.keyranges.assignment import Assignment
 from swiftpin.keyranges.const import KEY_COUNT
-from swiftpin.keyranges.planner import MOST_SEGMENTS, plan_moves
+from swiftpin.keyranges.planner import MAX_SEGMENTS_PER_TARGET, plan_moves
 from swiftpin.keyranges.segment import Segment
 
 TARGETS = tuple(f"t-{number}" for number in range(10))
@@ -74,7 +74,7 @@
 
 def test_load_is_evened_out_among_many_ranges() -> None:
     """One target's keys are asked for twice as often as it bears, others idle."""
-    assignment = cut_up(MOST_SEGMENTS * len(TARGETS) + 5)
+    assignment = cut_up(MAX_SEGMENTS_PER_TARGET * len(TARGETS) + 5)
     rates = {
         (segment.first + segment.last) // 2: 3.0 if segment.owner == "t-0" else 0.5
         for segment in assignment.segments
@@ -86,7 +86,7 @@
 
 def test_new_hot_neighbours_are_shared_out_among_many_ranges() -> None:
     """Keys of one range become hot together once there are many ranges."""
-    assignment = cut_up(MOST_SEGMENTS * len(TARGETS) + 5)
+    assignment = cut_up(MAX_SEGMENTS_PER_TARGET * len(TARGETS) + 5)
     hot = range(1100, 1200)
     assert assignment.segment_of(1100) == assignment.segment_of(1199)
     rates = {segment.first: 0.3 for segment in assignment.segments}
@@ -97,7 +97,7 @@
 
 def test_ranges_become_fewer_again() -> None:
     """Pieces between two owners are joined to one of them once they are cold."""
-    assignment = cut_up(MOST_SEGMENTS * len(TARGETS) + 5)
+    assignment = cut_up(MAX_SEGMENTS_PER_TARGET * len(TARGETS) + 5)
     rates = {segment.first: 0.3 for segment in assignment.segments}
     after = carry_out(assignment, rates)
-    assert len(after.segments) < MOST_SEGMENTS * len(TARGETS) / 2
+    assert len(after.segments) < MAX_SEGMENTS_PER_TARGET * len(TARGETS) / 2
--- a/tests/keyranges/test_plan_cold.py
+++ b/tests/keyranges/test_plan_cold.py
@@ -33,14 +33,14 @@
     """Guards against half of a busy target's keys at one that is cold."""
     assignment = divide_by_weight(dict.fromkeys(WARM_TARGETS, 1.0), fence=1)
     rates = spread(0.4 * WARM * len(WARM_TARGETS))
-    assert plan_moves(assignment, CAPACITIES, rates, limited=COLD_TARGETS) == []
+    assert plan_moves(assignment, CAPACITIES, rates, limited_targets=COLD_TARGETS) == []
 
 
 def test_cold_newcomers_take_what_they_bear_of_a_load_that_is_too_much() -> None:
     """Guards against cold targets that idle beside targets that are full."""
     assignment = divide_by_weight(dict.fromkeys(WARM_TARGETS, 1.0), fence=1)
     rates = spread(1.2 * WARM * len(WARM_TARGETS))
-    moves = plan_moves(assignment, CAPACITIES, rates, limited=COLD_TARGETS)
+    moves = plan_moves(assignment, CAPACITIES, rates, limited_targets=COLD_TARGETS)
     after = loads(assignment.with_moves(moves, 2), rates)
     assert all(0.3 * COLD < after[name] <= COLD for name in COLD_TARGETS)
 
@@ -50,7 +50,7 @@
     lost = ("l", "m", "n")
     assignment = divide_by_weight(dict.fromkeys((*WARM_TARGETS, *lost), 1.0), fence=1)
     rates = spread(0.5 * WARM * 6)
-    moves = plan_moves(assignment, CAPACITIES, rates, limited=COLD_TARGETS)
+    moves = plan_moves(assignment, CAPACITIES, rates, limited_targets=COLD_TARGETS)
     after = loads(assignment.with_moves(moves, 2), rates)
     assert all(after[name] <= 1.1 * COLD for name in COLD_TARGETS)
 
@@ -63,11 +63,13 @@
     assignment = divide_by_weight(dict.fromkeys(CAPACITIES, 1.0), fence=1)
     rates = spread(0.45 * WARM * 6)
     for fence in range(2, 12):
-        moves = plan_moves(assignment, CAPACITIES, rates, limited=COLD_TARGETS)
+        moves = plan_moves(assignment, CAPACITIES, rates, limited_targets=COLD_TARGETS)
         moved = assignment.with_moves(moves, fence)
         assignment = replace(
             moved,
-            segments=tuple(replace(segment, former="") for segment in moved.segments),
+            segments=tuple(
+                replace(segment, former_owner="") for segment in moved.segments
+            ),
         )
     after = loads(assignment, rates)
     assert all(after[name] <= 1.3 * COLD for name in COLD_TARGETS)
--- a/tests/keyranges/test_plan_hot_keys.py
+++ b/tests/keyranges/test_plan_hot_keys.py
@@ -14,7 +14,7 @@
 
 from swiftpin.keyranges.assignment import Assignment, divide_by_weight
 from swiftpin.keyranges.move import Move
-from swiftpin.keyranges.plan_hot_keys import FASTER
+from swiftpin.keyranges.plan_hot_keys import MIN_CAPACITY_RATIO
 from swiftpin.keyranges.planner import plan_moves
 from swiftpin.keyranges.target_speed import CapacityBounds, TargetSpeed
 
@@ -96,5 +96,5 @@
             speed.add(target, rng.lognormvariate(-3.0, 0.5), failed=False)
         bounds = [speed.capacity_bounds(target, 4) for target in targets]
         most = max(bound.low for bound in bounds)
-        apart += any(most > FASTER * bound.high for bound in bounds)
+        apart += any(most > MIN_CAPACITY_RATIO * bound.high for bound in bounds)
     assert apart < 40
--- a/tests/keyranges/test_planner.py
+++ b/tests/keyranges/test_planner.py
@@ -55,7 +55,7 @@
     assignment = even()
     after = assignment.with_moves(plan_moves(assignment, eligible, {}), 2)
     assert {segment.owner for segment in after.segments} == {"a", "b", "c"}
-    assert {s.former for s in after.segments if s.former} == {"d"}
+    assert {s.former_owner for s in after.segments if s.former_owner} == {"d"}
 
 
 def test_segments_on_the_move_stay() -> None:
@@ -119,7 +119,7 @@
     ]
     cut = even().with_moves(moves, 2)
     settled = Assignment(
-        segments=tuple(replace(segment, former="") for segment in cut.segments)
+        segments=tuple(replace(segment, former_owner="") for segment in cut.segments)
     )
     joins = plan_moves(settled, dict.fromkeys(TARGETS, CAPACITY), {})
     assert joins
--- a/tests/keyranges/test_range_assigner.py
+++ b/tests/keyranges/test_range_assigner.py
@@ -102,7 +102,7 @@
         health_path="/health",
         on_map=lambda key_map: None,
         count_members=lambda: 1,
-        longest_request=lambda: 1.0,
+        max_request_time=lambda: 1.0,
         get_service_spec=lambda: KEYED,
     )
     assigner._state.assignment = Assignment(
@@ -134,7 +134,7 @@
     await assigner._renewer.async_renew("a")
     store.may_respond.set()
     await plan
-    while moves := assigner._moves._moves_by_first:
+    while moves := assigner._moves._tasks_by_first_key:
         await asyncio.gather(*moves.values())
     assert targets.granted_by_target["a"]
     assert max(targets.granted_by_target["a"]) < min(targets.released_by_target["a"])
@@ -173,13 +173,15 @@
     directory.replaced_ids.add("a@1")
     segment = Segment(first=0, last=65535, owner="a@1", fence=5)
     assigner._state.assignment = Assignment(segments=(segment,))
-    assigner._sessions.of("a@1").note_grant(suspend_aware_now(), MIN_REGULAR_HOLD)
+    assigner._sessions.get_or_create("a@1").note_grant(
+        suspend_aware_now(), MIN_REGULAR_HOLD
+    )
     move = Move(first=0, last=65535, source="a@1", to="a@2")
     monkeypatch.setattr(range_assigner_module, "plan_moves", lambda *_, **__: [move])
     store.may_respond.set()
     started = suspend_aware_now()
     await assigner._async_plan_once(0.0)
-    while moves := assigner._moves._moves_by_first:
+    while moves := assigner._moves._tasks_by_first_key:
         await asyncio.gather(*moves.values())
     assert suspend_aware_now() < started + MIN_REGULAR_HOLD / 2
     assert targets.released_by_target["a"] < targets.granted_by_target["a"]
--- a/tests/keyranges/test_target_sessions.py
+++ b/tests/keyranges/test_target_sessions.py
@@ -49,16 +49,16 @@
     of the target that had the address.
     """
     directory.replaced_ids.add("a@1")
-    assert not sessions.of("a@1").is_gone
+    assert not sessions.get_or_create("a@1").is_gone
 
 
 def test_sessions_of_lives_that_hold_nothing_are_forgotten(
     sessions: TargetSessions,
 ) -> None:
     """Each start of a target brings a session; they must not pile up."""
-    sessions.of("a@1").note_grant(10.0, MIN_REGULAR_HOLD)
-    sessions.of("a@2").note_grant(10.0, MIN_REGULAR_HOLD)
-    sessions.forget({"a@2"}, 12.0)
+    sessions.get_or_create("a@1").note_grant(10.0, MIN_REGULAR_HOLD)
+    sessions.get_or_create("a@2").note_grant(10.0, MIN_REGULAR_HOLD)
+    sessions.prune({"a@2"}, 12.0)
     assert set(sessions._sessions_by_target) == {"a@1", "a@2"}
-    sessions.forget({"a@2"}, 20.0)
+    sessions.prune({"a@2"}, 20.0)
     assert set(sessions._sessions_by_target) == {"a@2"}
--- a/tests/keyranges/test_target_speed.py
+++ b/tests/keyranges/test_target_speed.py
@@ -25,7 +25,7 @@
         speed.add("a", 0.2, failed=False)
     before = speed.capacity("a", 2)
     for _ in range(5):
-        speed.add_cut("a", 1.2)
+        speed.add_abandoned("a", 1.2)
     assert speed.capacity("a", 2) < before / 2
 
 
@@ -33,7 +33,7 @@
     """A request given up sooner than usual does not make a target look fast."""
     speed = TargetSpeed()
     before = speed.capacity("a", 2)
-    speed.add_cut("a", 0.01)
+    speed.add_abandoned("a", 0.01)
     assert speed.capacity("a", 2) == before
 
 
--- a/tests/router/test_site.py
+++ b/tests/router/test_site.py
@@ -232,7 +232,7 @@
     async def async_never(*args: object) -> None:
         await asyncio.sleep(3600)
 
-    monkeypatch.setattr(target_session, "SILENT_LIMIT", 0.3)
+    monkeypatch.setattr(target_session, "SILENCE_TIMEOUT", 0.3)
     monkeypatch.setattr(silent, "_other", lambda request: None)
     runner, silent._runner = silent._runner, None
     assert runner is not None
