--- a/script/gen_metrics_page.py
+++ b/script/gen_metrics_page.py
@@ -12,7 +12,7 @@
 
 from swiftpin.helpers.logging_writer import LineWriter
 from swiftpin.result import ResultCode, executed_by_result
-from swiftpin.router.metrics import FAILED_RESULTS, Metrics, outcome_of
+from swiftpin.router.metrics import FAILED_RESULTS, Metrics, outcome_label
 from swiftpin.router.step_failure import MEANING_BY_STEP_FAILURE, StepFailure
 
 PAGE: Final = Path(__file__).resolve().parent.parent / "docs" / "router-metrics.md"
@@ -30,12 +30,12 @@
 def metrics_with_events() -> Metrics:
     """Return metrics in which everything has happened once, so that labels show."""
     metrics = Metrics()
-    metrics.add_log(LineWriter(io.BytesIO()))
-    metrics.note_served("service", 200, 0.0, late=True)
-    metrics.note_failed("service", ResultCode.INTERNAL, 0.0)
-    metrics.note_steps("service", 0.0, StepFailure, sends=2)
-    metrics.note_turnaround("service", 0.0)
-    metrics.note_store_call("GET", "kind", "200")
+    metrics.set_log_writer(LineWriter(io.BytesIO()))
+    metrics.record_served("service", 200, 0.0, late=True)
+    metrics.record_failed("service", ResultCode.INTERNAL, 0.0)
+    metrics.record_steps("service", 0.0, StepFailure, sends=2)
+    metrics.record_turnaround("service", 0.0)
+    metrics.record_store_call("GET", "kind", "200")
     metrics.link_traffic.count_items("update")
     metrics.link_traffic.count_lost_link("silent")
     return metrics
@@ -70,7 +70,7 @@
     yield "| --- | --- | --- |"
     for result in FAILED_RESULTS:
         ran = executed_by_result(result).value
-        yield f"| `{outcome_of(result)}` | {result.value} | {ran} |"
+        yield f"| `{outcome_label(result)}` | {result.value} | {ran} |"
     yield "\n## Values of `reason` in `swiftpin_router_step_failures_total`\n"
     yield "| Value | Meaning |"
     yield "| --- | --- |"
--- a/swiftpin/bench/decisions/modelled_router.py
+++ b/swiftpin/bench/decisions/modelled_router.py
@@ -19,8 +19,8 @@
 from swiftpin.permits.permit_decision import PermitDecision
 from swiftpin.permits.permit_queue import PermitQueue
 from swiftpin.permits.permit_request import PermitRequest
-from swiftpin.router.owner_finder import OWNER_RETRY, OWNER_WAIT
-from swiftpin.router.retry_policy import REFUSED_RETRY
+from swiftpin.router.owner_finder import MAX_OWNER_WAIT, NO_OWNER_RETRY_AFTER
+from swiftpin.router.retry_policy import REFUSED_RETRY_AFTER
 
 MESSAGE_TIME: Final = 0.0015
 """Seconds of a message between instances, and of a request to a target."""
@@ -143,7 +143,7 @@
         if owner:
             self._ask(attempt, owner)
         else:
-            until = min(self._clock.now + OWNER_WAIT, attempt.ends_at)
+            until = min(self._clock.now + MAX_OWNER_WAIT, attempt.ends_at)
             self._waiting_for_owner.append((until, attempt))
 
     def _ask(self, attempt: Try, target: str) -> None:
@@ -223,7 +223,7 @@
         if attempt.sends < MOST_TRIES:
             self._find(attempt)
         else:
-            self._reject(attempt, REFUSED_RETRY)
+            self._reject(attempt, REFUSED_RETRY_AFTER)
 
     def _reject(self, attempt: Try, retry_after: float) -> None:
         """Tell the caller when to come back."""
@@ -242,7 +242,7 @@
         waiting, self._waiting_for_owner = self._waiting_for_owner, []
         for until, attempt in waiting:
             if self._clock.now >= until:
-                self._reject(attempt, OWNER_RETRY)
+                self._reject(attempt, NO_OWNER_RETRY_AFTER)
             elif owners.owner_of(attempt.key or 0):
                 self._find(attempt)
             else:
--- a/swiftpin/router/app.py
+++ b/swiftpin/router/app.py
@@ -42,7 +42,7 @@
 from swiftpin.router.listeners import Listeners
 from swiftpin.router.metrics import Metrics
 from swiftpin.router.planned_stop import PlannedStop
-from swiftpin.router.poison_watch import PoisonWatch
+from swiftpin.router.poison_detector import PoisonDetector
 from swiftpin.router.request_handler import RequestHandler
 from swiftpin.router.request_log import RequestLog
 from swiftpin.router.request_sender import RequestSender
@@ -62,7 +62,7 @@
         self._incarnation = incarnation
         self._lifecycle = Lifecycle()
         self._metrics = Metrics()
-        self._metrics.add_log(logging.writer)
+        self._metrics.set_log_writer(logging.writer)
         self._health = StoreHealth()
         self._configuration = ConfigurationHolder()
         self._configuration.lag.set_apply_bound(settings.bounds.apply_limit)
@@ -70,18 +70,18 @@
         self._directory = TargetDirectory(
             self._health, settings.bounds.drain_limit, self._evacuations
         )
-        self._directory.unusable.on_unusable = self._metrics.note_unusable_entry
+        self._directory.unusable.on_unusable = self._metrics.record_unusable_entry
         self._maps = KeyMaps()
-        self._poison = PoisonWatch()
+        self._poison = PoisonDetector()
         self._fleet_size = FleetSize()
         self._clients = HttpClients()
         self._store = StoreClient(
             str(settings.store_address),
             self._clients.store,
-            self._metrics.note_store_call,
+            self._metrics.record_store_call,
         )
         self._permits = PermitBroker(
-            incarnation, settings.zone, self._metrics.note_turnaround
+            incarnation, settings.zone, self._metrics.record_turnaround
         )
         self._lease = LeaseElection(
             name=settings.name,
@@ -111,7 +111,7 @@
             poison=self._poison,
             fleet_size=self._fleet_size,
         )
-        self._metrics.add_links(self._fleet.links.traffic)
+        self._metrics.set_link_traffic(self._fleet.links.traffic)
         self._lease.on_record = self._fleet.known_leader.adopt_record
         self._assigner_factory = AssignerFactory(
             settings=settings,
@@ -273,7 +273,7 @@
         self._update_retry_members(
             self._sender.retries.members(suspend_aware_now()) or 0
         )
-        return self._sender.take_load()
+        return self._sender.pop_load_report()
 
     @callback
     def _update_retry_members(self, members: int) -> None:
@@ -285,7 +285,7 @@
     @callback
     def _handle_configuration_change(self) -> None:
         """Act on a new configuration."""
-        self._handler.note_configuration()
+        self._handler.handle_configuration_change()
         configuration = self._configuration.current
         if configuration is not None:
             self._leader.update_candidacy()
--- a/swiftpin/router/call.py
+++ b/swiftpin/router/call.py
@@ -28,7 +28,7 @@
     """When the caller gets a final answer, whatever happens."""
 
     sends: int = 0
-    is_sent: bool = False
+    is_at_target: bool = False
     """Whether a target has the request now."""
 
     is_retry_reserved: bool = False
@@ -55,7 +55,7 @@
     waited: float = 0.0
 
     @callback
-    def note(self, failure: StepFailure, text: str) -> None:
+    def record_failure(self, failure: StepFailure, text: str) -> None:
         """Note a step that failed."""
         self.step_failures.append(failure)
         self.notes.append(text)
--- a/swiftpin/router/caller_answer.py
+++ b/swiftpin/router/caller_answer.py
@@ -28,9 +28,11 @@
 from swiftpin.helpers.connection_reset import reset_connection
 from swiftpin.platform.request_head import encode_answer_headers, own_answer_headers
 
-BODILESS: Final = frozenset({HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED})
+STATUSES_WITHOUT_BODY: Final = frozenset(
+    {HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED}
+)
 
-WHOLE_LIMIT: Final = 256 * 1024
+MAX_BUFFERED_ANSWER: Final = 256 * 1024
 """Bytes of an answer that are awaited before the first is passed on, so that an answer
 which breaks off can still be asked for again. Links take 2 ms for as much, and callers
 are few at a time."""
@@ -40,9 +42,9 @@
     """Writes one answer; `response` then tells whether the connection goes on."""
 
     def __init__(self, request: BaseRequest, request_id: str) -> None:
-        self.begun = False
+        self.is_started = False
         self.response: StreamResponse = CLOSED
-        self.closes = False
+        self.closes_connection = False
         """Whether the connection ends with this answer."""
 
         self._request = request
@@ -52,7 +54,7 @@
         """Set the id that answers made here carry."""
         self._request_id = request_id
 
-    async def async_relay(self, answer: HttpAnswer, first: list[bytes]) -> None:
+    async def async_relay(self, answer: HttpAnswer, first_chunks: list[bytes]) -> None:
         """Pass a target's answer on; `first` holds what was read of its body.
 
         Raises `AnswerCutShortError` when the target breaks it off; the caller's
@@ -60,9 +62,9 @@
         """
         headers = encode_answer_headers(answer.headers.items())
         writer = self._request.writer
-        is_whole = answer.is_read
-        if is_whole:
-            body = b"".join(first)
+        is_complete = answer.is_read
+        if is_complete:
+            body = b"".join(first_chunks)
             await self._async_write(answer.status, headers, body)
             return
         if answer.length is not None:
@@ -71,16 +73,18 @@
             headers[TRANSFER_ENCODING] = "chunked"
             writer.enable_chunking()
         try:
-            await writer.write_headers(self._finish(answer.status, headers), headers)
-            self.begun = True
-            for chunk in first:
+            await writer.write_headers(
+                self._finish_headers(answer.status, headers), headers
+            )
+            self.is_started = True
+            for chunk in first_chunks:
                 await writer.write(chunk)
-            first.clear()
+            first_chunks.clear()
             while chunk := await answer.async_read_chunk():
                 await writer.write(chunk)
             await writer.write_eof()
         except AnswerBrokenError as err:
-            self.cut()
+            self.abort_connection()
             raise AnswerCutShortError("the target broke its answer off") from err
         except ConnectionError as err:
             raise CallerLeftError("the caller closed its connection") from err
@@ -89,17 +93,17 @@
         """Write the answer to a request that failed here."""
         if not self._request.content.is_eof():
             # The rest of the body would be read as the next request.
-            self.closes = True
+            self.closes_connection = True
         headers = own_answer_headers(self._request_id)
         headers[CONTENT_TYPE] = CONTENT_TYPE_JSON
         if err.retry_after is not None:
             headers[RETRY_AFTER] = f"{err.retry_after:.3f}"
         await self._async_write(err.status, headers, error_body(err))
 
-    def cut(self) -> None:
+    def abort_connection(self) -> None:
         """Reset the caller's connection, so that a part can't pass for the whole."""
         transport = self._request.transport
-        if not self.begun or transport is None:
+        if not self.is_started or transport is None:
             return
         reset_connection(transport)
 
@@ -107,19 +111,19 @@
         self, status: int, headers: CIMultiDict[str], body: bytes
     ) -> None:
         """Write an answer that is in memory."""
-        if status not in BODILESS and self._request.method != METH_HEAD:
+        if status not in STATUSES_WITHOUT_BODY and self._request.method != METH_HEAD:
             headers[CONTENT_LENGTH] = str(len(body))
         writer = self._request.writer
         try:
-            await writer.write_headers(self._finish(status, headers), headers)
-            self.begun = True
+            await writer.write_headers(self._finish_headers(status, headers), headers)
+            self.is_started = True
             await writer.write_eof(body)
         except ConnectionError as err:
             raise CallerLeftError("the caller closed its connection") from err
 
-    def _finish(self, status: int, headers: CIMultiDict[str]) -> str:
+    def _finish_headers(self, status: int, headers: CIMultiDict[str]) -> str:
         """Set the last header and return the status line."""
-        if self.closes or not self._request.keep_alive:
+        if self.closes_connection or not self._request.keep_alive:
             headers[CONNECTION] = "close"
             self.response = CLOSED
         else:
--- a/swiftpin/router/configuration_holder.py
+++ b/swiftpin/router/configuration_holder.py
@@ -66,7 +66,7 @@
     @callback
     def note_announced_version(self, version: int, now: float) -> None:
         """Note that another instance has a version in force."""
-        self.lag.note_told(version, self.version, now)
+        self.lag.record_announced(version, self.version, now)
 
     @callback
     def adopt_list(
@@ -169,7 +169,7 @@
         self.current = configuration
         self.adopted_at = now
         self.packed = source.packed
-        self.lag.note_adopted(configuration.version)
+        self.lag.record_adopted(configuration.version)
         self.on_change()
 
 
--- a/swiftpin/router/configuration_lag.py
+++ b/swiftpin/router/configuration_lag.py
@@ -7,7 +7,7 @@
 
 from swiftpin.core import callback
 
-TOLD_LAG: Final = 1.0
+MAX_NOTIFICATION_DELAY: Final = 1.0
 """Seconds by which an instance may be told late of a new version: the watch of whoever
 tells it, and a heartbeat."""
 
@@ -24,31 +24,35 @@
         """Whether the store or a neighbour that is heard has what is missing."""
 
         self._limit = math.inf
-        self._told_at_by_version: dict[int, float] = {}
+        self._announced_at_by_version: dict[int, float] = {}
         """When others first told of each version above the one in force."""
 
     @callback
     def set_apply_bound(self, seconds: float) -> None:
         """Set how long an accepted configuration may take to be in force."""
-        self._limit = max(seconds - TOLD_LAG, 0.0)
+        self._limit = max(seconds - MAX_NOTIFICATION_DELAY, 0.0)
 
     @callback
-    def note_told(self, version: int, in_force: int, now: float) -> None:
+    def record_announced(self, version: int, in_force: int, now: float) -> None:
         """Note that another instance has a version in force."""
         if version > in_force:
-            self._told_at_by_version.setdefault(version, now)
+            self._announced_at_by_version.setdefault(version, now)
 
     @callback
-    def note_adopted(self, version: int) -> None:
+    def record_adopted(self, version: int) -> None:
         """Note which version is in force."""
-        for told in [told for told in self._told_at_by_version if told <= version]:
-            del self._told_at_by_version[told]
+        for announced in [
+            announced
+            for announced in self._announced_at_by_version
+            if announced <= version
+        ]:
+            del self._announced_at_by_version[announced]
 
     @callback
     def is_outdated(self, now: float) -> bool:
         """Return whether a newer configuration should be in force by now."""
-        told_at = min(self._told_at_by_version.values(), default=math.inf)
-        return now - told_at > self._limit
+        announced_at = min(self._announced_at_by_version.values(), default=math.inf)
+        return now - announced_at > self._limit
 
     @callback
     def is_refusing(self, now: float) -> bool:
--- a/swiftpin/router/decision_basis.py
+++ b/swiftpin/router/decision_basis.py
@@ -35,7 +35,7 @@
     """Who confirmed the list last."""
 
     @callback
-    def pairs(self) -> str:
+    def format_fields(self) -> str:
         """Return the pairs of the request's log line."""
         key_map = ABSENT
         if self.key_map is not None:
@@ -49,7 +49,7 @@
 
 
 @callback
-def read_basis(
+def current_basis(
     maps: KeyMaps, directory: TargetDirectory, service: str
 ) -> DecisionBasis:
     """Return what is believed now about a service."""
--- a/swiftpin/router/fleet_coordinator.py
+++ b/swiftpin/router/fleet_coordinator.py
@@ -33,8 +33,8 @@
 from swiftpin.router.key_maps import KeyMaps
 from swiftpin.router.known_leader import KnownLeader
 from swiftpin.router.load_reports import LoadReports, report_interval
+from swiftpin.router.poison_detector import PoisonDetector
 from swiftpin.router.poison_reports import PoisonReports
-from swiftpin.router.poison_watch import PoisonWatch
 
 UPDATE_INTERVAL: Final = 0.2
 """Seconds between two looks at links, issuers and reports."""
@@ -62,7 +62,7 @@
         directory: TargetDirectory,
         lifecycle: Lifecycle,
         health: StoreHealth,
-        poison: PoisonWatch,
+        poison: PoisonDetector,
         fleet_size: FleetSize,
     ) -> None:
         links = self.links = FleetLinks(
@@ -123,7 +123,7 @@
             if self._lease.is_held(now):
                 self._issuer_list.update(now)
             self._update_fleet_size(now)
-            self._poison_reports.report(now)
+            self._poison_reports.report_suspects(now)
             self.gossip.request_updates()
             if now >= report_at:
                 report_at = (
@@ -157,9 +157,9 @@
             case "key_map_ask":
                 self.key_maps.send_all(link)
             case "suspect":
-                self._poison_reports.take_suspect(item.suspect, suspend_aware_now())
+                self._poison_reports.handle_suspect(item.suspect, suspend_aware_now())
             case "quarantine":
-                self._poison_reports.take_quarantine(
+                self._poison_reports.handle_quarantine(
                     item.quarantine, suspend_aware_now()
                 )
             case "issuers":
@@ -196,7 +196,7 @@
             return
         if self._permits.issuers.number:
             self._issuer_list.send(link)
-        self._poison_reports.give(link, suspend_aware_now())
+        self._poison_reports.send_quarantines(link, suspend_aware_now())
 
     @callback
     def _update_fleet_size(self, now: float) -> None:
--- a/swiftpin/router/bucket_counts.py
+++ b/swiftpin/router/histogram.py
@@ -7,7 +7,7 @@
 from swiftpin.core import callback
 
 
-class BucketCounts:
+class Histogram:
     """Counts of values up to each of some bounds, and their sum."""
 
     def __init__(self, bounds: tuple[float, ...]) -> None:
@@ -25,10 +25,10 @@
     def cumulative(self) -> list[tuple[float, int]]:
         """Return for each bound, and for infinity, how many values were no higher."""
         counts = []
-        passed = 0
+        running_total = 0
         for bound, count in zip(
             (*self._bounds, float("inf")), self._counts, strict=True
         ):
-            passed += count
-            counts.append((bound, passed))
+            running_total += count
+            counts.append((bound, running_total))
         return counts
--- a/swiftpin/router/metrics.py
+++ b/swiftpin/router/metrics.py
@@ -10,7 +10,7 @@
 from swiftpin.fleet.link_traffic import LinkTraffic
 from swiftpin.helpers.logging_writer import LineWriter
 from swiftpin.result import ResultCode
-from swiftpin.router.bucket_counts import BucketCounts
+from swiftpin.router.histogram import Histogram
 from swiftpin.router.step_failure import StepFailure
 
 if TYPE_CHECKING:
@@ -81,7 +81,7 @@
         """Instances that share the slack of the budgets of retries, 0 while this one
         has no share."""
 
-        self.late: Counter[str] = Counter()
+        self.late_answers: Counter[str] = Counter()
         """Late answers by service."""
 
         self.store_calls: Counter[tuple[str, ...]] = Counter()
@@ -90,9 +90,9 @@
         self.unusable_entries: Counter[str] = Counter()
         """Entries of targets that could not be used, by reason."""
 
-        self.latencies_by_service: dict[str, BucketCounts] = {}
-        self.waits_by_service: dict[str, BucketCounts] = {}
-        self.turnarounds_by_service: dict[str, BucketCounts] = {}
+        self.latencies_by_service: dict[str, Histogram] = {}
+        self.waits_by_service: dict[str, Histogram] = {}
+        self.turnarounds_by_service: dict[str, Histogram] = {}
         self.configuration = 0
         """Version in force."""
 
@@ -114,43 +114,43 @@
         return self._registry
 
     @callback
-    def add_log(self, writer: LineWriter) -> None:
+    def set_log_writer(self, writer: LineWriter) -> None:
         """Serve the counts of the log's writer too."""
         self.log_writer = writer
 
     @callback
-    def add_links(self, traffic: LinkTraffic) -> None:
+    def set_link_traffic(self, traffic: LinkTraffic) -> None:
         """Serve the counts of the links too."""
         self.link_traffic = traffic
 
     @callback
-    def note_store_call(self, method: str, kind: str, outcome: str) -> None:
+    def record_store_call(self, method: str, kind: str, outcome: str) -> None:
         """Count a call of the store."""
         self.store_calls[method, kind, outcome] += 1
 
     @callback
-    def note_unusable_entry(self, reason: str) -> None:
+    def record_unusable_entry(self, reason: str) -> None:
         """Count an entry of a target that could not be used."""
         self.unusable_entries[reason] += 1
 
     @callback
-    def note_served(
+    def record_served(
         self, service: str, status: int, seconds: float, *, late: bool
     ) -> None:
         """Count a request that got a target's answer."""
         self.requests[service, f"status_{status}"] += 1
         _observe(self.latencies_by_service, service, LATENCY_BUCKETS, seconds)
         if late:
-            self.late[service] += 1
+            self.late_answers[service] += 1
 
     @callback
-    def note_failed(self, service: str, result: ResultCode, seconds: float) -> None:
+    def record_failed(self, service: str, result: ResultCode, seconds: float) -> None:
         """Count a request that failed here."""
-        self.requests[service, outcome_of(result)] += 1
+        self.requests[service, outcome_label(result)] += 1
         _observe(self.latencies_by_service, service, LATENCY_BUCKETS, seconds)
 
     @callback
-    def note_steps(
+    def record_steps(
         self, service: str, waited: float, failures: Iterable[StepFailure], sends: int
     ) -> None:
         """Count what happened to a request on its way to its end."""
@@ -161,14 +161,14 @@
             self.step_failures[service, failure.value] += 1
 
     @callback
-    def note_turnaround(self, service: str, seconds: float) -> None:
+    def record_turnaround(self, service: str, seconds: float) -> None:
         """Count a permit that came back to this instance."""
         _observe(self.turnarounds_by_service, service, WAIT_BUCKETS, seconds)
 
 
 @callback
 def _observe(
-    counts_by_service: dict[str, BucketCounts],
+    counts_by_service: dict[str, Histogram],
     service: str,
     bounds: tuple[float, ...],
     seconds: float,
@@ -176,11 +176,11 @@
     """Count a time of a service's request."""
     counts = counts_by_service.get(service)
     if counts is None:
-        counts = counts_by_service[service] = BucketCounts(bounds)
+        counts = counts_by_service[service] = Histogram(bounds)
     counts.observe(seconds)
 
 
 @callback
-def outcome_of(result: ResultCode) -> str:
+def outcome_label(result: ResultCode) -> str:
     """Return the label's value for a result."""
     return result.name.lower()
--- a/swiftpin/router/metrics_registry.py
+++ b/swiftpin/router/metrics_registry.py
@@ -16,7 +16,7 @@
 from swiftpin.core import callback
 from swiftpin.fleet.link_traffic import LinkTraffic
 from swiftpin.helpers.logging_writer import LineWriter
-from swiftpin.router.bucket_counts import BucketCounts
+from swiftpin.router.histogram import Histogram
 from swiftpin.router.metrics import Metrics
 
 
@@ -71,7 +71,7 @@
             "swiftpin_router_late_answers",
             "Targets' answers that came after the objective of their route.",
             ("service",),
-            {(service,): count for service, count in metrics.late.items()},
+            {(service,): count for service, count in metrics.late_answers.items()},
         )
         yield _histogram(
             "swiftpin_router_request_seconds",
@@ -134,7 +134,7 @@
 
 
 def _histogram(
-    name: str, documentation: str, counts_by_service: Mapping[str, BucketCounts]
+    name: str, documentation: str, counts_by_service: Mapping[str, Histogram]
 ) -> Metric:
     """Return a histogram for each service."""
     family = HistogramMetricFamily(name, documentation, labels=("service",))
--- a/swiftpin/router/owner_finder.py
+++ b/swiftpin/router/owner_finder.py
@@ -14,12 +14,12 @@
 from swiftpin.router.key_maps import KeyMaps
 from swiftpin.router.step_failure import StepFailure
 
-OWNER_WAIT: Final = 0.5
+MAX_OWNER_WAIT: Final = 0.5
 """Seconds for which a request waits for keys on the move. A move with a handover takes
 about as long as one request; one that takes longer waits for a lost target's grant to
 end, and then callers had better come back."""
 
-OWNER_RETRY: Final = 0.4
+NO_OWNER_RETRY_AFTER: Final = 0.4
 """Seconds after which a caller may come back whose key had no owner."""
 
 SAME_TARGET_PAUSE: Final = 0.1
@@ -62,32 +62,36 @@
         """Return the target that owns the request's key; raise `NoOwnerError`."""
         key = call.head.key
         if key is None:
-            call.note(StepFailure.NO_KEY, "no key")
-            raise NoOwnerError("the request names no key", retry_after=OWNER_RETRY)
+            call.record_failure(StepFailure.NO_KEY, "no key")
+            raise NoOwnerError(
+                "the request names no key", retry_after=NO_OWNER_RETRY_AFTER
+            )
         loop = asyncio.get_running_loop()
         if call.failed_target:
             # The map may just be changing; else the owner gets a moment of rest.
-            await self._async_wait_map(call, loop.time() + SAME_TARGET_PAUSE)
-        until = min(loop.time() + OWNER_WAIT, call.ends_at)
+            await self._async_wait_map_change(call, loop.time() + SAME_TARGET_PAUSE)
+        until = min(loop.time() + MAX_OWNER_WAIT, call.ends_at)
         while True:
             owner = self._maps.owner_of(call.service, key)
-            if self._is_served(call.service, key, owner):
+            if self._can_send(call.service, key, owner):
                 return owner
             if loop.time() >= until:
                 failure = StepFailure.OWNER_AWAY if owner else StepFailure.ON_THE_MOVE
-                call.note(failure, f"no owner: {owner or 'on the move'}")
-                raise NoOwnerError("the key is on the move", retry_after=OWNER_RETRY)
-            await self._async_wait_map(call, until)
+                call.record_failure(failure, f"no owner: {owner or 'on the move'}")
+                raise NoOwnerError(
+                    "the key is on the move", retry_after=NO_OWNER_RETRY_AFTER
+                )
+            await self._async_wait_map_change(call, until)
 
     @callback
-    def _is_served(self, service: str, key: int, owner: str) -> bool:
+    def _can_send(self, service: str, key: int, owner: str) -> bool:
         """Return whether a request for a key may be sent to its owner."""
         now = suspend_aware_now()
         if not owner or not self._directory.may_send(owner, now):
             return False
         return not self._maps.is_denied(service, key, now)
 
-    async def _async_wait_map(self, call: Call, until: float) -> None:
+    async def _async_wait_map_change(self, call: Call, until: float) -> None:
         """Wait until the service's key map changes, at most until a time."""
         try:
             async with asyncio.timeout_at(until):
--- a/swiftpin/router/planned_stop.py
+++ b/swiftpin/router/planned_stop.py
@@ -64,9 +64,9 @@
                 await self._lease.async_give_up()
             if loop.time() >= listens_until:
                 self._callers.stop_listening()
-                handler.refuse_new()
+                handler.refuse_new_requests()
             if loop.time() >= waits_until:
-                handler.refuse_waiting()
+                handler.refuse_waiting_requests()
                 if not handler.in_flight and not self._must_keep_lease(
                     suspend_aware_now()
                 ):
--- a/swiftpin/router/poison_watch.py
+++ b/swiftpin/router/poison_detector.py
@@ -10,26 +10,26 @@
 
 from swiftpin.core import callback
 
-CRASHES: Final = 3
+MIN_CRASHED_TARGETS: Final = 3
 """Different targets that a request must have silenced to be held for poison. Answers
 get lost for other reasons too, but not those of one request at one target after the
 other."""
 
-MEMORY: Final = 60.0
+SUSPECT_LIFETIME: Final = 60.0
 """Seconds for which a silenced target is held against a request."""
 
 QUARANTINE_TIME: Final = 60.0
 """Seconds for which such a request is refused: callers never give up by themselves."""
 
-MOST_SUSPECTS: Final = 10_000
+MAX_SUSPECTS: Final = 10_000
 
 
-def fingerprint_of(host: str, path: str, key: int | None, body: bytes) -> int:
+def compute_fingerprint(host: str, path: str, key: int | None, body: bytes) -> int:
     """Return what is equal for every resend of a request, whatever its id."""
     return xxh3_64_intdigest(b"\0".join((f"{host}{path}\0{key}".encode(), body)))
 
 
-class PoisonWatch:
+class PoisonDetector:
     """Counts silenced targets by request, and tells which requests to refuse.
 
     A resend may come in at any instance, so the counts of all are kept where keys are
@@ -39,7 +39,7 @@
 
     def __init__(self) -> None:
         self.on_suspect: Callable[[int, str, float], None] = _ignore
-        self.on_quarantine: Callable[[int], None] = _ignore_verdict
+        self.on_quarantine: Callable[[int], None] = _ignore_quarantine
         self._targets_by_fingerprint: dict[int, dict[str, float]] = {}
         self._until_by_fingerprint: dict[int, float] = {}
 
@@ -49,7 +49,7 @@
         return now < self._until_by_fingerprint.get(fingerprint, 0.0)
 
     @callback
-    def quarantined(self, now: float) -> list[int]:
+    def quarantined_fingerprints(self, now: float) -> list[int]:
         """Return the requests to refuse, by their fingerprints."""
         return [
             fingerprint
@@ -69,24 +69,26 @@
         self._until_by_fingerprint[fingerprint] = now + QUARANTINE_TIME
 
     @callback
-    def note_silenced(self, fingerprint: int, target: str, now: float) -> None:
+    def record_suspect(self, fingerprint: int, target: str, now: float) -> None:
         """Count a target that gave no answer to a request."""
-        if len(self._targets_by_fingerprint) >= MOST_SUSPECTS:
-            self._drop_old(now)
+        if len(self._targets_by_fingerprint) >= MAX_SUSPECTS:
+            self._drop_expired_suspects(now)
         targets = self._targets_by_fingerprint.setdefault(fingerprint, {})
         targets[target] = now
-        recent = [at for at in targets.values() if now - at < MEMORY]
-        if len(recent) >= CRASHES and not self.is_quarantined(fingerprint, now):
+        recent = [at for at in targets.values() if now - at < SUSPECT_LIFETIME]
+        if len(recent) >= MIN_CRASHED_TARGETS and not self.is_quarantined(
+            fingerprint, now
+        ):
             self.quarantine(fingerprint, now)
             self.on_quarantine(fingerprint)
 
     @callback
-    def _drop_old(self, now: float) -> None:
+    def _drop_expired_suspects(self, now: float) -> None:
         """Forget requests that silenced nothing lately."""
         self._targets_by_fingerprint = {
             fingerprint: targets
             for fingerprint, targets in self._targets_by_fingerprint.items()
-            if now - max(targets.values()) < MEMORY
+            if now - max(targets.values()) < SUSPECT_LIFETIME
         }
 
 
@@ -96,5 +98,5 @@
 
 
 @callback
-def _ignore_verdict(fingerprint: int) -> None:
+def _ignore_quarantine(fingerprint: int) -> None:
     """Do nothing."""
--- a/swiftpin/router/received.py
+++ b/swiftpin/router/received_answer.py
@@ -9,14 +9,14 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Received:
+class ReceivedAnswer:
     """An answer whose beginning, or whole, was read."""
 
     answer: HttpAnswer
-    first: list[bytes]
+    first_chunks: list[bytes]
     """What was read of the body."""
 
-    began_at: float
+    answer_began_at: float
     """When the answer began, on the event loop's clock."""
 
     @callback
--- a/swiftpin/router/request_handler.py
+++ b/swiftpin/router/request_handler.py
@@ -32,14 +32,14 @@
 from swiftpin.router.split_chooser import SplitChooser
 from swiftpin.router.step_failure import StepFailure
 
-NOT_READY_RETRY: Final = 0.5
+NOT_READY_RETRY_AFTER: Final = 0.5
 """Seconds after which a caller may come back to an instance that has just started or
 whose configuration is out of date."""
 
-LEAVING_RETRY: Final = 0.05
+STOPPING_RETRY_AFTER: Final = 0.05
 """Seconds after which a caller may come back, through the balancer, to another one."""
 
-LATE_RETRY: Final = 0.5
+NO_SLOT_RETRY_AFTER: Final = 0.5
 """Seconds after which a caller may come back whose request never got a slot."""
 
 
@@ -55,55 +55,57 @@
         log: RequestLog,
     ) -> None:
         self.in_flight = 0
-        self._refuses_new = False
+        self._is_refusing_new = False
         self._deadlines_by_call: dict[int, tuple[Call, Deadline]] = {}
         self._configuration = configuration
         self._sender = sender
         self._lifecycle = lifecycle
         self._log = log
         self._splits = SplitChooser()
-        self._deadlines = DeadlineWatch()
+        self._deadline_watch = DeadlineWatch()
 
     @callback
-    def note_configuration(self) -> None:
+    def handle_configuration_change(self) -> None:
         """Begin to deal by the weights of a new configuration."""
-        self._splits.forget()
+        self._splits.reset()
 
     @callback
-    def refuse_new(self) -> None:
+    def refuse_new_requests(self) -> None:
         """Take no further requests, also on connections that are open.
 
         One that is taken shortly before the process ends would be cut off.
         """
-        self._refuses_new = True
+        self._is_refusing_new = True
 
     @callback
-    def refuse_waiting(self) -> None:
+    def refuse_waiting_requests(self) -> None:
         """End the wait of every request that no target has.
 
         A queue may be longer than what is left of the grace period; who waits in it
         would be cut off without an answer, and can be served elsewhere.
         """
         for call, deadline in self._deadlines_by_call.values():
-            if not call.is_sent:
+            if not call.is_at_target:
                 deadline.interrupt()
 
     @callback
     def unload(self) -> None:
         """Stop the timer of the deadlines."""
-        self._deadlines.unload()
+        self._deadline_watch.unload()
 
     async def async_handle(self, request: BaseRequest) -> StreamResponse:
         """Serve one request."""
         started_at = asyncio.get_running_loop().time()
         answer = CallerAnswer(request, "")
-        answer.closes = self._lifecycle.leaving
+        answer.closes_connection = self._lifecycle.leaving
         self.in_flight += 1
         try:
             await self._async_serve(request, answer, started_at)
         finally:
             self.in_flight -= 1
-            answer.closes = answer.closes or self._lifecycle.leaving
+            answer.closes_connection = (
+                answer.closes_connection or self._lifecycle.leaving
+            )
         return answer.response
 
     async def _async_serve(
@@ -114,44 +116,45 @@
         try:
             head = _decode_head(request)
             answer.set_request_id(head.id)
-            call = self._begin(request, head, started_at)
-            await self._async_run(call, answer)
+            call = self._create_call(request, head, started_at)
+            await self._async_send_and_relay(call, answer)
         except CallerLeftError:
-            self._log.write_left(call, started_at)
+            self._log.write_caller_left(call, started_at)
         except asyncio.CancelledError:
-            self._log.write_left(call, started_at)
+            self._log.write_caller_left(call, started_at)
             raise
         except RequestError as err:
             self._log.write_failed(call, request, err, started_at)
-            if not answer.begun:
-                await _async_tell(answer, err)
+            if not answer.is_started:
+                await _async_send_error(answer, err)
         except Exception as fault:  # noqa: BLE001 - one request's fault is answered
             # Left to the server it would be answered as a request that can't be parsed
             # and was not run, though a target may have run it.
             internal = RequestError("the router failed; its log tells more")
             self._log.write_failed(call, request, internal, started_at, fault=fault)
-            answer.cut()
-            if not answer.begun:
-                await _async_tell(answer, internal)
+            answer.abort_connection()
+            if not answer.is_started:
+                await _async_send_error(answer, internal)
         else:
             self._log.write_served(call, started_at)
 
     @callback
-    def _begin(
+    def _create_call(
         self, request: BaseRequest, head: RequestHead, started_at: float
     ) -> Call:
         """Find the route; raise what ends the request when there is none."""
         protocol = request.protocol
         if isinstance(protocol, GatewayProtocol) and protocol.has_caller_left():
             raise CallerLeftError("the caller left before its request was read")
-        if self._refuses_new:
+        if self._is_refusing_new:
             raise ShuttingDownError(
-                "the instance is about to end", retry_after=LEAVING_RETRY
+                "the instance is about to end", retry_after=STOPPING_RETRY_AFTER
             )
         configuration = self._configuration.current
         if configuration is None:
             raise NotReadyError(
-                "the instance knows no configuration yet", retry_after=NOT_READY_RETRY
+                "the instance knows no configuration yet",
+                retry_after=NOT_READY_RETRY_AFTER,
             )
         now = suspend_aware_now()
         if self._configuration.lag.is_refusing(now):
@@ -175,10 +178,10 @@
             configuration=configuration.version,
         )
 
-    async def _async_run(self, call: Call, answer: CallerAnswer) -> None:
+    async def _async_send_and_relay(self, call: Call, answer: CallerAnswer) -> None:
         """Have a request sent and pass its answer on, in time."""
         try:
-            with self._deadlines.until(call.ends_at) as deadline:
+            with self._deadline_watch.until(call.ends_at) as deadline:
                 self._deadlines_by_call[id(call)] = (call, deadline)
                 await call.body.async_prefetch()
                 received = await self._sender.async_send(call)
@@ -188,9 +191,9 @@
             self._deadlines_by_call.pop(id(call), None)
         try:
             # What has begun to arrive is passed on, also when it takes longer.
-            await answer.async_relay(received.answer, received.first)
-            seconds = asyncio.get_running_loop().time() - received.began_at
-            self._sender.answer_way.note(call.service, call.route.kind, seconds)
+            await answer.async_relay(received.answer, received.first_chunks)
+            seconds = asyncio.get_running_loop().time() - received.answer_began_at
+            self._sender.transfer_times.record(call.service, call.route.kind, seconds)
         finally:
             received.finish(asyncio.get_running_loop().time())
 
@@ -208,7 +211,7 @@
 def _outdated_error() -> RequestError:
     """Return what a caller is told while a newer configuration is missing."""
     return NotReadyError(
-        "the instance's configuration is out of date", retry_after=NOT_READY_RETRY
+        "the instance's configuration is out of date", retry_after=NOT_READY_RETRY_AFTER
     )
 
 
@@ -216,13 +219,15 @@
 def _timeout_error(call: Call) -> RequestError:
     """Return what a caller is told whose time is over, and note where it ended."""
     if StepFailure.GIVEN_UP not in call.step_failures:
-        call.note(StepFailure.TIME_OVER, "time over while it waited")
+        call.record_failure(StepFailure.TIME_OVER, "time over while it waited")
     if call.may_have_run:
         return DeadlineExceededError("the time of the request is over")
-    return QueueFullError("the request got no slot in time", retry_after=LATE_RETRY)
+    return QueueFullError(
+        "the request got no slot in time", retry_after=NO_SLOT_RETRY_AFTER
+    )
 
 
-async def _async_tell(answer: CallerAnswer, err: RequestError) -> None:
+async def _async_send_error(answer: CallerAnswer, err: RequestError) -> None:
     """Write the answer of a failed request."""
     try:
         await answer.async_error(err)
--- a/swiftpin/router/request_log.py
+++ b/swiftpin/router/request_log.py
@@ -22,13 +22,13 @@
 )
 from swiftpin.result import ResultCode
 from swiftpin.router.call import Call
-from swiftpin.router.decision_basis import read_basis
+from swiftpin.router.decision_basis import current_basis
 from swiftpin.router.key_maps import KeyMaps
 from swiftpin.router.metrics import Metrics
 
 MILLISECONDS: Final = 1000.0
-MOST_SERVED_LINES: Final = 400
-MOST_FAILED_LINES: Final = 2000
+MAX_SERVED_LINES_PER_SECOND: Final = 400
+MAX_FAILED_LINES_PER_SECOND: Final = 2000
 """Lines a second; a line has about 400 bytes. What is left out is counted in the next
 line of its sort."""
 
@@ -48,8 +48,8 @@
         self._maps = maps
         self._directory = directory
         self._metrics = metrics
-        self._served_lines = LineRateLimiter(MOST_SERVED_LINES)
-        self._failed_lines = LineRateLimiter(MOST_FAILED_LINES)
+        self._served_lines = LineRateLimiter(MAX_SERVED_LINES_PER_SECOND)
+        self._failed_lines = LineRateLimiter(MAX_FAILED_LINES_PER_SECOND)
 
     @callback
     def write_served(self, call: Call | None, started_at: float) -> None:
@@ -58,7 +58,7 @@
             return
         elapsed = asyncio.get_running_loop().time() - started_at
         late = elapsed > call.route.objective
-        self._metrics.note_served(call.service, call.status, elapsed, late=late)
+        self._metrics.record_served(call.service, call.status, elapsed, late=late)
         self._count_steps(call)
         outcome = f"status={call.status} outcome=served"
         self._write("info", call, f"{outcome} late=true" if late else outcome, elapsed)
@@ -76,30 +76,30 @@
         """Write the line of a request that got an answer made here."""
         elapsed = asyncio.get_running_loop().time() - started_at
         service = ABSENT if call is None else call.service
-        self._metrics.note_failed(service, err.code, elapsed)
+        self._metrics.record_failed(service, err.code, elapsed)
         self._count_steps(call)
         outcome = _failed_outcome(err)
         if err.retry_after is not None:
             outcome = f"{outcome} retry_after={err.retry_after:.3f}"
         if call is None:
-            asked = f"{format_text(request.host)}{format_text(request.path)}"
-            outcome = f"asked={asked} {outcome}"
+            host_and_path = f"{format_text(request.host)}{format_text(request.path)}"
+            outcome = f"asked={host_and_path} {outcome}"
         if fault is not None:
-            outcome = f"{outcome} fault={format_text(_trace(fault))}"
+            outcome = f"{outcome} fault={format_text(_format_traceback(fault))}"
         self._write("warning", call, outcome, elapsed)
 
     @callback
     def write_unparsed(self, err: RequestError) -> None:
         """Write the line of a request that was not valid HTTP and has no id."""
-        self._metrics.note_failed(ABSENT, err.code, 0.0)
+        self._metrics.record_failed(ABSENT, err.code, 0.0)
         self._write("warning", None, _failed_outcome(err), 0.0)
 
     @callback
-    def write_left(self, call: Call | None, started_at: float) -> None:
+    def write_caller_left(self, call: Call | None, started_at: float) -> None:
         """Write the line of a request whose caller went away."""
         elapsed = asyncio.get_running_loop().time() - started_at
         service = ABSENT if call is None else call.service
-        self._metrics.note_failed(service, ResultCode.CALLER_LEFT, elapsed)
+        self._metrics.record_failed(service, ResultCode.CALLER_LEFT, elapsed)
         self._count_steps(call)
         self._write("warning", call, "outcome=CALLER_LEFT", elapsed)
 
@@ -107,7 +107,7 @@
     def _count_steps(self, call: Call | None) -> None:
         """Count what happened before the end."""
         if call is not None:
-            self._metrics.note_steps(
+            self._metrics.record_steps(
                 call.service, call.waited, call.step_failures, call.sends
             )
 
@@ -123,7 +123,7 @@
             return
         if left_out := budget.take_suppressed_count():
             outcome = f"{outcome} left_out_before={left_out}"
-        pairs = "" if call is None else self._pairs(call)
+        pairs = "" if call is None else self._format_call(call)
         self._destination.write_line(
             f"time={format_time(time.time())} level={level} event=request{pairs}"
             f" {outcome} elapsed_ms={elapsed * MILLISECONDS:.1f}",
@@ -131,16 +131,16 @@
         )
 
     @callback
-    def _pairs(self, call: Call) -> str:
+    def _format_call(self, call: Call) -> str:
         """Return what was known and decided."""
-        basis = call.basis or read_basis(self._maps, self._directory, call.service)
+        basis = call.basis or current_basis(self._maps, self._directory, call.service)
         notes = format_text("; ".join(call.notes)) if call.notes else ABSENT
         key = ABSENT if call.head.key is None else call.head.key
         return (
             f" request_id={format_text(call.head.id)}"
             f" route={format_text_cached(call.route.name)}"
             f" kind={call.route.kind.value} service={format_text_cached(call.service)}"
-            f" configuration={call.configuration} key={key} {basis.pairs()}"
+            f" configuration={call.configuration} key={key} {basis.format_fields()}"
             f" target={format_text_cached(call.target) if call.target else ABSENT}"
             f" sends={call.sends} waited_ms={call.waited * MILLISECONDS:.1f}"
             f" may_have_run={'true' if call.may_have_run else 'false'} notes={notes}"
@@ -155,6 +155,6 @@
     )
 
 
-def _trace(fault: Exception) -> str:
+def _format_traceback(fault: Exception) -> str:
     """Return where a fault was raised."""
     return "".join(traceback.format_exception(fault))
--- a/swiftpin/router/retry_budget.py
+++ b/swiftpin/router/retry_budget.py
@@ -6,9 +6,9 @@
 from typing import Final
 
 from swiftpin.core import callback
-from swiftpin.router.retry_limits import LEAST_SAVED, RetryLimits
+from swiftpin.router.retry_limits import MIN_SAVED_RETRIES, RetryLimits
 
-STEPS: Final = 10
+COUNTING_INTERVALS: Final = 10
 """Parts of a window in which requests are counted."""
 
 
@@ -30,20 +30,24 @@
     @callback
     def record_request(self, limits: RetryLimits, now: float) -> None:
         """Count a request."""
-        self._drop_old(limits, now)
-        self._count(limits.window / STEPS, now)
-        self._earned = min(self._earned + limits.earned, self._most_saved(limits))
+        self._drop_expired(limits, now)
+        self._count_in_interval(limits.window / COUNTING_INTERVALS, now)
+        self._earned = min(
+            self._earned + limits.earned_per_request, self._max_saved(limits)
+        )
 
     @callback
     def reserve(self, limits: RetryLimits, now: float) -> bool:
         """Keep a retry back if there is one."""
-        self._drop_old(limits, now)
+        self._drop_expired(limits, now)
         if self._earned >= self._earned_reserved + 1:
             self._earned_reserved += 1
             return True
-        saved_beyond = max(LEAST_SAVED - limits.saved_ratio * self._requests, 0.0)
-        spent = len(self._slack_sent_at) + self._slack_reserved
-        if spent + 1 > limits.slack - saved_beyond:
+        slack_for_saving = max(
+            MIN_SAVED_RETRIES - limits.max_saved_per_request * self._requests, 0.0
+        )
+        slack_used = len(self._slack_sent_at) + self._slack_reserved
+        if slack_used + 1 > limits.slack - slack_for_saving:
             return False
         self._slack_reserved += 1
         return True
@@ -67,15 +71,15 @@
             self._slack_sent_at.append(now)
 
     @callback
-    def _most_saved(self, limits: RetryLimits) -> float:
+    def _max_saved(self, limits: RetryLimits) -> float:
         """Return how many earned retries may be saved."""
-        saved = max(limits.saved_ratio * self._requests, LEAST_SAVED)
+        saved = max(limits.max_saved_per_request * self._requests, MIN_SAVED_RETRIES)
         return max(saved, self._earned_reserved)
 
     @callback
-    def _count(self, step: float, now: float) -> None:
+    def _count_in_interval(self, interval: float, now: float) -> None:
         """Count a request in the present part of the window, of `step` seconds."""
-        if self._counts and now - self._counts[-1][0] < step:
+        if self._counts and now - self._counts[-1][0] < interval:
             began_at, count = self._counts.pop()
             self._counts.append((began_at, count + 1))
         else:
@@ -83,7 +87,7 @@
         self._requests += 1
 
     @callback
-    def _drop_old(self, limits: RetryLimits, now: float) -> None:
+    def _drop_expired(self, limits: RetryLimits, now: float) -> None:
         """Forget what left the window."""
         oldest = now - limits.window
         while self._counts and self._counts[0][0] <= oldest:
@@ -91,4 +95,4 @@
             self._requests -= count
         while self._slack_sent_at and self._slack_sent_at[0] <= oldest:
             self._slack_sent_at.popleft()
-        self._earned = min(self._earned, self._most_saved(limits))
+        self._earned = min(self._earned, self._max_saved(limits))
--- a/swiftpin/router/retry_limits.py
+++ b/swiftpin/router/retry_limits.py
@@ -16,7 +16,7 @@
 """Part of the slack that is shared out. What is left covers requests that are counted
 late, retries that arrive late, and what instances without a share have saved."""
 
-LEAST_SAVED: Final = 1.0
+MIN_SAVED_RETRIES: Final = 1.0
 """Retries that every instance may save; with less it could never retry."""
 
 
@@ -37,10 +37,10 @@
     fewer instances than retries in the slack.
     """
 
-    earned: float
+    earned_per_request: float
     """Retries that a request earns."""
 
-    saved_ratio: float
+    max_saved_per_request: float
     """Retries that may be saved for each request of the last window."""
 
     slack: float
@@ -55,8 +55,8 @@
 def retry_limits(bounds: Bounds, members: int | None) -> RetryLimits:
     """Return the limits of one of `members`, None for one that has no share."""
     return RetryLimits(
-        earned=EARNED_SHARE * bounds.retry_ratio,
-        saved_ratio=(1 - EARNED_SHARE) * bounds.retry_ratio,
+        earned_per_request=EARNED_SHARE * bounds.retry_ratio,
+        max_saved_per_request=(1 - EARNED_SHARE) * bounds.retry_ratio,
         slack=0.0 if members is None else SLACK_SHARE * bounds.retry_slack / members,
         window=bounds.retry_window,
     )
--- a/swiftpin/router/split_chooser.py
+++ b/swiftpin/router/split_chooser.py
@@ -32,6 +32,6 @@
         return chosen
 
     @callback
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Begin anew after a change of the configuration."""
         self._credits_by_route.clear()
--- a/swiftpin/router/status_endpoints.py
+++ b/swiftpin/router/status_endpoints.py
@@ -19,7 +19,7 @@
 
 PATH_METRICS: Final = "/metrics"
 
-MAP_WAIT: Final = 6.0
+MAX_MAP_WAIT: Final = 6.0
 """Seconds after the start at which an instance counts as ready without key maps: the
 services that need none are served meanwhile."""
 
@@ -54,7 +54,7 @@
             return False
         if self._configuration.lag.is_refusing(now):
             return False
-        if now - self._started_at > MAP_WAIT:
+        if now - self._started_at > MAX_MAP_WAIT:
             return True
         return all(
             service.name in self._maps.maps_by_service
--- a/swiftpin/router/target_exchange.py
+++ b/swiftpin/router/target_exchange.py
@@ -28,24 +28,24 @@
     is_answer_to,
 )
 from swiftpin.router.call import Call
-from swiftpin.router.caller_answer import WHOLE_LIMIT
+from swiftpin.router.caller_answer import MAX_BUFFERED_ANSWER
 from swiftpin.router.configuration_holder import ConfigurationHolder
 from swiftpin.router.fleet_messages import LoadReport
 from swiftpin.router.key_maps import KeyMaps
-from swiftpin.router.poison_watch import PoisonWatch, fingerprint_of
-from swiftpin.router.received import Received
+from swiftpin.router.poison_detector import PoisonDetector, compute_fingerprint
+from swiftpin.router.received_answer import ReceivedAnswer
 from swiftpin.router.retry_policy import RetryPolicy
 from swiftpin.router.step_failure import StepFailure
 
-ONCE_IDLE: Final = 1.0
+MAX_IDLE_FOR_ONCE: Final = 1.0
 """Seconds for which a connection may have been idle that carries a request which must
 not run twice: targets close idle connections, at times unannounced, and a request that
 crosses the close is lost."""
 
-CONNECTION_SHARE: Final = 6
+CONNECTION_DIVISOR: Final = 6
 """Part of a target's connections that one instance takes at most."""
 
-SHORTEST_TIME: Final = 0.02
+MIN_SEND_TIME: Final = 0.02
 """Seconds that must be left for a request to be sent at all."""
 
 
@@ -60,7 +60,7 @@
         directory: TargetDirectory,
         maps: KeyMaps,
         permits: PermitBroker,
-        poison: PoisonWatch,
+        poison: PoisonDetector,
         retries: RetryPolicy,
     ) -> None:
         self.load = LoadReport()
@@ -74,7 +74,7 @@
         self._poison = poison
         self._retries = retries
 
-    async def async_exchange(self, call: Call, permit: Permit) -> Received | None:
+    async def async_exchange(self, call: Call, permit: Permit) -> ReceivedAnswer | None:
         """Return the answer, its beginning read; None when there was none."""
         call.target = permit.target
         state = HttpSendState()
@@ -82,45 +82,49 @@
         try:
             received = await self._async_send(call, permit, state, began_at)
         except RequestNotSentError as err:
-            self._note_failed(call, permit, StepFailure.NOT_SENT, f"not sent: {err}")
+            self._record_failed_send(
+                call, permit, StepFailure.NOT_SENT, f"not sent: {err}"
+            )
             return None
         except AnswerBrokenError as err:
             call.may_have_run = True
-            self._note_failed(call, permit, StepFailure.BROKEN, f"broken: {err}")
+            self._record_failed_send(call, permit, StepFailure.BROKEN, f"broken: {err}")
             self._poison.on_suspect(
-                fingerprint(call), permit.target, suspend_aware_now()
+                request_fingerprint(call), permit.target, suspend_aware_now()
             )
             return None
         except BaseException:
             # The deadline passed or the caller left.
             if state.written:
                 call.may_have_run = True
-                call.note(StepFailure.GIVEN_UP, f"{permit.target} had it to the end")
+                call.record_failure(
+                    StepFailure.GIVEN_UP, f"{permit.target} had it to the end"
+                )
             elapsed = asyncio.get_running_loop().time() - began_at
             self._permits.end(permit, elapsed, failed=False, cut=True)
             self.load.add_abandoned(call.service, permit.target, elapsed)
             raise
         finally:
             call.sends += state.written
-            call.is_sent = False
+            call.is_at_target = False
         return received
 
     async def _async_send(
         self, call: Call, permit: Permit, state: HttpSendState, began_at: float
-    ) -> Received | None:
+    ) -> ReceivedAnswer | None:
         """Send the request and read the beginning of the answer."""
         target = self._directory.targets_by_id.get(permit.target)
-        left = call.ends_at - began_at
-        if target is None or left < SHORTEST_TIME:
+        time_left = call.ends_at - began_at
+        if target is None or time_left < MIN_SEND_TIME:
             raise RequestNotSentError(f"{permit.target} is gone, or no time is left")
         request = call.request
         headers = encode_request_headers(
             request.headers.items(),
             request.headers.get(HOST, ""),
             target.name,
-            left,
+            time_left,
         )
-        once = call.route.kind is RequestKind.ONCE
+        is_once = call.route.kind is RequestKind.ONCE
         answer = await self._client.async_exchange(
             target.address,
             HttpRequest(
@@ -131,23 +135,23 @@
             ),
             state,
             partial(self._check_target, call, permit.target),
-            connections=self._connections(call.service),
+            connections=self._connection_limit(call.service),
             check=partial(is_answer_to, call.head.id),
-            max_idle=ONCE_IDLE if once else math.inf,
+            max_idle=MAX_IDLE_FOR_ONCE if is_once else math.inf,
         )
         head = decode_answer_head(answer.status, answer.headers)
         if head.not_executed:
-            return self._note_refused(call, permit, answer, head)
-        return await self._async_take(call, permit, answer, head, began_at)
+            return self._handle_refusal(call, permit, answer, head)
+        return await self._async_receive(call, permit, answer, head, began_at)
 
-    async def _async_take(
+    async def _async_receive(
         self,
         call: Call,
         permit: Permit,
         answer: HttpAnswer,
         head: AnswerHead,
         began_at: float,
-    ) -> Received:
+    ) -> ReceivedAnswer:
         """Read the beginning of an answer to a request that ran."""
         failed = answer.status >= HTTPStatus.INTERNAL_SERVER_ERROR
         answered_at = asyncio.get_running_loop().time()
@@ -158,13 +162,15 @@
         try:
             if not head.is_signed and answer.status < HTTPStatus.MULTIPLE_CHOICES:
                 raise AnswerBrokenError("a success without the target's signature")
-            first = await _async_read_first(answer)
+            first_chunks = await _async_read_first_chunks(answer)
         except BaseException:
             answer.abort()
             raise
         self.load.add_duration(call.service, permit.target, None if failed else elapsed)
         call.status = answer.status
-        return Received(answer=answer, first=first, began_at=answered_at)
+        return ReceivedAnswer(
+            answer=answer, first_chunks=first_chunks, answer_began_at=answered_at
+        )
 
     @callback
     def _check_target(self, call: Call, target_id: str, now: float) -> None:
@@ -176,75 +182,77 @@
         sent_at = suspend_aware_now()
         if not self._directory.may_send(target_id, sent_at):
             raise RequestNotSentError(f"{target_id} has left")
-        self._retries.note_send(call, sent_at)
-        call.is_sent = True
+        self._retries.record_send(call, sent_at)
+        call.is_at_target = True
 
     @callback
-    def _note_refused(
+    def _handle_refusal(
         self, call: Call, permit: Permit, answer: HttpAnswer, head: AnswerHead
     ) -> None:
         """Note that a target did not run the request."""
         answer.abort()
         key = call.head.key
-        lacks_key = False
+        is_key_denied = False
         if answer.status == HTTPStatus.MISDIRECTED_REQUEST and key is not None:
-            lacks_key = True
+            is_key_denied = True
             self._maps.record_denial(call.service, key, suspend_aware_now())
         target = self._directory.targets_by_id.get(permit.target)
         if target is not None and head.instance not in (None, target.name):
             # The target is gone and its address belongs to another one by now.
             self._directory.note_replaced(permit.target, suspend_aware_now())
             reason = f"replaced by {head.instance}"
-            self._note_failed(call, permit, StepFailure.REPLACED, reason)
+            self._record_failed_send(call, permit, StepFailure.REPLACED, reason)
             return
         reason = f"refused: {answer.status}"
-        if not lacks_key:
-            self._note_failed(call, permit, StepFailure.REFUSED, reason)
+        if not is_key_denied:
+            self._record_failed_send(call, permit, StepFailure.REFUSED, reason)
             return
         # Its keys are leaving it, or its grant has ended; the target itself is sound.
         # Counted as failures these refusals make the target that just gave keys away
         # seem to bear less, and more of its keys leave it.
         self._permits.end(permit, 0.0, failed=False)
-        self._note_step(call, permit, StepFailure.REFUSED, reason)
+        self._record_step_failure(call, permit, StepFailure.REFUSED, reason)
 
     @callback
-    def _note_failed(
+    def _record_failed_send(
         self, call: Call, permit: Permit, failure: StepFailure, reason: str
     ) -> None:
         """Note a send that brought no answer."""
-        self._note_step(call, permit, failure, reason)
+        self._record_step_failure(call, permit, failure, reason)
         self._permits.end(permit, 0.0, failed=True)
         self.load.add_duration(call.service, permit.target, None)
 
     @callback
-    def _note_step(
+    def _record_step_failure(
         self, call: Call, permit: Permit, failure: StepFailure, reason: str
     ) -> None:
         """Note why a request has to be sent again."""
         call.failed_target = permit.target
-        call.note(failure, f"{permit.target} {reason}")
+        call.record_failure(failure, f"{permit.target} {reason}")
 
     @callback
-    def _connections(self, service: str) -> int:
+    def _connection_limit(self, service: str) -> int:
         """Return how many connections to one target this instance may open."""
         configuration = self._configuration.current
         spec = configuration.services_by_name.get(service) if configuration else None
-        most = spec.max_connections if spec is not None else CONNECTION_SHARE
-        return max(most // CONNECTION_SHARE, 2)
+        target_limit = spec.max_connections if spec is not None else CONNECTION_DIVISOR
+        return max(target_limit // CONNECTION_DIVISOR, 2)
 
 
 @callback
-def fingerprint(call: Call) -> int:
+def request_fingerprint(call: Call) -> int:
     """Return what is equal for every resend of the request."""
     request = call.request
-    return fingerprint_of(request.host, request.raw_path, call.head.key, call.body.head)
+    return compute_fingerprint(
+        request.host, request.raw_path, call.head.key, call.body.head
+    )
 
 
-async def _async_read_first(answer: HttpAnswer) -> list[bytes]:
+async def _async_read_first_chunks(answer: HttpAnswer) -> list[bytes]:
     """Return the body if it is short enough to be held, else its beginning."""
     chunks = []
     size = 0
-    while size <= WHOLE_LIMIT and not answer.is_read:
+    while size <= MAX_BUFFERED_ANSWER and not answer.is_read:
         chunk = await answer.async_read_chunk()
         if not chunk:
             break
--- a/swiftpin/router/answer_way.py
+++ b/swiftpin/router/transfer_times.py
@@ -7,15 +7,15 @@
 from swiftpin.core import callback
 from swiftpin.model.request_kind import RequestKind
 
-WEIGHT: Final = 0.1
+SMOOTHING_FACTOR: Final = 0.1
 """Weight of one answer."""
 
-PASSES: Final = 2
+LINK_PASSES: Final = 2
 """Times that an answer goes over the instance's own link. What is measured is its way
 in: the way out is as long, and ends in buffers, unseen."""
 
 
-class AnswerWay:
+class TransferTimes:
     """Means of the time from an answer's beginning to its end, by service and kind.
 
     Requests get slots early enough to meet their objective, and no earlier where
@@ -26,15 +26,15 @@
         self._means: dict[tuple[str, RequestKind], float] = {}
 
     @callback
-    def note(self, service: str, kind: RequestKind, seconds: float) -> None:
+    def record(self, service: str, kind: RequestKind, seconds: float) -> None:
         """Take the time for which an answer was read and passed on."""
         mean = self._means.get((service, kind))
         if mean is None:
             self._means[service, kind] = seconds
         else:
-            self._means[service, kind] = mean + WEIGHT * (seconds - mean)
+            self._means[service, kind] = mean + SMOOTHING_FACTOR * (seconds - mean)
 
     @callback
-    def usual(self, service: str, kind: RequestKind) -> float:
+    def estimate(self, service: str, kind: RequestKind) -> float:
         """Return the seconds from an answer's beginning until the caller has it."""
-        return PASSES * self._means.get((service, kind), 0.0)
+        return LINK_PASSES * self._means.get((service, kind), 0.0)
--- a/tests/deploy/test_router_alerts.py
+++ b/tests/deploy/test_router_alerts.py
@@ -32,7 +32,7 @@
     """Return the names of all samples that a router may give."""
     names: set[str] = set()
     metrics = Metrics()
-    metrics.add_log(LineWriter(io.BytesIO()))
+    metrics.set_log_writer(LineWriter(io.BytesIO()))
     for metric in metrics.registry.collect():
         names.add(metric.name)
         if metric.type == "counter":
--- a/tests/router/calls.py
+++ b/tests/router/calls.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(kw_only=True)
-class Body:
+class FakeBody:
     """Body of a request; one that was streamed can't be sent again."""
 
     can_be_sent: bool = True
@@ -47,7 +47,7 @@
         head=RequestHead(id="q1", deadline=1.0, key=None),
         route=route,
         service=SERVICE,
-        body=cast("Any", Body(can_be_sent=can_be_sent)),
+        body=cast("Any", FakeBody(can_be_sent=can_be_sent)),
         started_at=now,
         ends_at=now + 1.0,
         sends=sends,
--- a/tests/router/retry_fleet.py
+++ b/tests/router/retry_fleet.py
@@ -23,13 +23,13 @@
 RATIO: Final = 0.2
 SLACK: Final = 56.0
 ATTEMPTS: Final = 3
-LEAD: Final = 16.0
+WARM_UP: Final = 16.0
 """Seconds for which instances run before the first request."""
 
-TICK: Final = 0.2
+HEARTBEAT_INTERVAL: Final = 0.2
 """Seconds between two looks of the holder at its members."""
 
-TAKEOVER: Final = 1.3
+TAKEOVER_TIME: Final = 1.3
 """Seconds without a holder after one is lost."""
 
 LINK_TIME: Final = 0.2
@@ -54,8 +54,8 @@
     rate: float
     """Requests a second, all instances together."""
 
-    rejected: float = 0.9
-    waits: tuple[float, float] = (0.002, 0.03)
+    rejected_share: float = 0.9
+    permit_wait_range: tuple[float, float] = (0.002, 0.03)
     """Seconds that a retry waits for its permit, at least and at most."""
 
 
@@ -72,37 +72,37 @@
     """Callers, instances by name, and the holder that tells them of each other."""
 
     def __init__(self, size: int, load: Load, seed: int) -> None:
-        self.now = -LEAD
+        self.now = -WARM_UP
         self.random = Random(seed)
         self.load = load
         self.instances_by_name = {name: Instance() for name in range(size)}
         self.requests: list[float] = []
         self.retries: list[float] = []
         self.served_retries = 0
-        self._cut: set[int] = set()
+        self._isolated: set[int] = set()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._order = count()
+        self._sequence_numbers = count()
         self._linked_since_by_pair: dict[tuple[Instance, Instance], float] = {}
         self._holder: Instance | None = None
         self._holder_lost_at = -math.inf
-        self._told = 0
+        self._announced_members = 0
 
-    def at(self, when: float, event: Callable[[], None]) -> None:
+    def schedule(self, when: float, event: Callable[[], None]) -> None:
         """Have something happen."""
-        heappush(self._events, (when, next(self._order), event))
+        heappush(self._events, (when, next(self._sequence_numbers), event))
 
     def run(self, until: float) -> None:
         """Play until a time, in seconds."""
-        self.at(-LEAD, self._tick)
-        self.at(0.0, self._arrive)
+        self.schedule(-WARM_UP, self._send_heartbeats)
+        self.schedule(0.0, self._receive_request)
         while self._events and self._events[0][0] < until:
             self.now, _, event = heappop(self._events)
             event()
 
-    def worst_excess(self) -> float:
+    def max_excess(self) -> float:
         """Return by how much retries exceed what is allowed in the worst window."""
         return max(
-            (self._retries_until(end) - self._allowed(end) for end in self.retries),
+            (self._count_retries(end) - self._max_retries(end) for end in self.retries),
             default=-SLACK,
         )
 
@@ -111,18 +111,18 @@
         names = sorted(self.instances_by_name)
         for name in self.random.sample(names, round(share * len(names))):
             del self.instances_by_name[name]
-            self.at(self.now + down, partial(self.start, name))
+            self.schedule(self.now + down, partial(self.start, name))
 
     def start(self, name: int) -> None:
         """Start an instance."""
         self.instances_by_name[name] = Instance()
 
-    def cut_off(self, share: float, seconds: float) -> None:
+    def isolate(self, share: float, seconds: float) -> None:
         """Cut instances off from the others and from the store, not from callers."""
         names = sorted(self.instances_by_name)
         cut = self.random.sample(names, round(share * len(names)))
-        self._cut.update(cut)
-        self.at(self.now + seconds, lambda: self._cut.difference_update(cut))
+        self._isolated.update(cut)
+        self.schedule(self.now + seconds, lambda: self._isolated.difference_update(cut))
 
     def freeze(self, share: float, seconds: float) -> None:
         """Stop processes for a while; what comes in meanwhile waits."""
@@ -135,11 +135,11 @@
         for instance in self.instances_by_name.values():
             instance.policy.set_bounds(replace(BOUNDS, retry_slack=slack))
 
-    def _retries_until(self, end: float) -> int:
+    def _count_retries(self, end: float) -> int:
         """Return the retries of the window that ends at a time."""
         return bisect_right(self.retries, end) - bisect_left(self.retries, end - WINDOW)
 
-    def _allowed(self, end: float) -> float:
+    def _max_retries(self, end: float) -> float:
         """Return the retries that the window may have."""
         requests = max(
             bisect_right(self.requests, end - back)
@@ -148,72 +148,78 @@
         )
         return RATIO * requests + SLACK
 
-    def _arrive(self) -> None:
+    def _receive_request(self) -> None:
         """Have a request come in at some instance."""
-        self.at(self.now + self.random.expovariate(self.load.rate), self._arrive)
+        self.schedule(
+            self.now + self.random.expovariate(self.load.rate), self._receive_request
+        )
         self.requests.append(self.now)
         running = list(self.instances_by_name.values())
         if running:
             instance = self.random.choice(running)
-            self._at_instance(instance, self.now, lambda: self._begin(instance))
+            self._schedule_at_instance(
+                instance, self.now, lambda: self._send_first(instance)
+            )
 
-    def _at_instance(
+    def _schedule_at_instance(
         self, instance: Instance, when: float, step: Callable[[], None]
     ) -> None:
         """Have an instance do something, unless it has ended by then."""
 
         def run() -> None:
             if instance.frozen_until > self.now:
-                self.at(instance.frozen_until, run)
+                self.schedule(instance.frozen_until, run)
             elif instance in self.instances_by_name.values():
                 step()
 
-        self.at(when, run)
+        self.schedule(when, run)
 
-    def _begin(self, instance: Instance) -> None:
+    def _send_first(self, instance: Instance) -> None:
         """Send a request for the first time."""
-        instance.policy.record_first(SERVICE, self.now)
+        instance.policy.count_request(SERVICE, self.now)
         call = make_call(now=self.now, sends=0, attempts=ATTEMPTS)
-        self._answer(instance, call)
+        self._run_at_target(instance, call)
 
-    def _answer(self, instance: Instance, call: Call) -> None:
+    def _run_at_target(self, instance: Instance, call: Call) -> None:
         """Have a target take or reject a request."""
         call.sends += 1
-        if self.random.random() >= self.load.rejected:
+        if self.random.random() >= self.load.rejected_share:
             self.served_retries += call.sends > 1
             instance.policy.release(call)
             return
         try:
-            instance.policy.check_may_retry(call, self.now)
+            instance.policy.check_retry_allowed(call, self.now)
         except RequestError:
             instance.policy.release(call)
             return
-        wait = self.random.uniform(*self.load.waits)
-        self._at_instance(
+        wait = self.random.uniform(*self.load.permit_wait_range)
+        self._schedule_at_instance(
             instance, self.now + wait, lambda: self._send_again(instance, call)
         )
 
     def _send_again(self, instance: Instance, call: Call) -> None:
         """Send a request once more."""
-        instance.policy.note_send(call, self.now)
+        instance.policy.record_send(call, self.now)
         self.retries.append(self.now)
-        self._answer(instance, call)
+        self._run_at_target(instance, call)
 
-    def _tick(self) -> None:
+    def _send_heartbeats(self) -> None:
         """Have the holder tell all that it hears how many they are."""
-        self.at(self.now + TICK, self._tick)
+        self.schedule(self.now + HEARTBEAT_INTERVAL, self._send_heartbeats)
         self._choose_holder()
         holder = self._holder
         if holder is None:
             return
         linked = [other for other in self._reachable() if self._is_linked(other)]
-        self._told = member_count_to_announce(len(linked), self._told)
+        self._announced_members = member_count_to_announce(
+            len(linked), self._announced_members
+        )
         for instance in linked:
-            heard_at = self.now + self.random.uniform(0.0, TICK)
-            hear = partial(self._hear, instance, self._told)
-            self._at_instance(instance, heard_at, hear)
+            heard_at = self.now + self.random.uniform(0.0, HEARTBEAT_INTERVAL)
+            hear = partial(self._receive_heartbeat, instance, self._announced_members)
+            self._schedule_at_instance(instance, heard_at, hear)
 
-    def _hear(self, instance: Instance, members: int) -> None:
+    def _receive_heartbeat(self, instance: Instance, members: int) -> None:
         """Have an instance hear the holder."""
         instance.fleet_size.record_member_count(members, self.now)
 
@@ -222,7 +228,7 @@
         return [
             instance
             for name, instance in sorted(self.instances_by_name.items())
-            if name not in self._cut
+            if name not in self._isolated
         ]
 
     def _is_linked(self, instance: Instance) -> bool:
@@ -240,9 +246,9 @@
             self._holder_lost_at = self.now
         if self._holder is None and able and self._is_lease_free():
             self._holder = able[0]
-            self._told = 0
+            self._announced_members = 0
             self._linked_since_by_pair.clear()
 
     def _is_lease_free(self) -> bool:
         """Return whether the lease of the last holder has ended."""
-        return self.now - self._holder_lost_at >= TAKEOVER
+        return self.now - self._holder_lost_at >= TAKEOVER_TIME
--- a/tests/router/site.py
+++ b/tests/router/site.py
@@ -38,7 +38,7 @@
     cold_overshoot=1.5,
     cold_slack=8.0,
 )
-WAIT = 15.0
+MAX_WAIT = 15.0
 COLD_RATE = 5.0
 """Requests a second that a cold target bears."""
 
@@ -132,11 +132,11 @@
         monkeypatch.setattr(planned_stop, "BALANCER_REMOVAL_TIME", 0.2)
         monkeypatch.setattr(directory_module, "FIRST_LIST_SETTLE", 0.0)
 
-    def earn_retries(self) -> None:
+    def earn_retry_credit(self) -> None:
         """Have every instance count some requests; one that starts has no retries."""
         for router in self.routers_by_name.values():
             for _ in range(10):
-                router._sender.retries.record_first("desk", suspend_aware_now())
+                router._sender.retries.count_request("desk", suspend_aware_now())
 
     async def async_setup(self, targets: int = 3, routers: int = 2) -> None:
         """Start everything and wait until it serves."""
@@ -226,7 +226,7 @@
 
     async def async_wait(self, condition: Callable[[], bool]) -> None:
         """Wait until a condition holds."""
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(MAX_WAIT):
             while not condition():  # noqa: ASYNC110  # no event tells of all of them
                 await asyncio.sleep(0.01)
 
@@ -259,7 +259,7 @@
                 headers={**response.headers, "id": headers["Swiftpin-Request-Id"]},
             )
 
-    def runs_of(self, request_id: str) -> int:
+    def count_runs(self, request_id: str) -> int:
         """Return how often a request was run."""
         return sum(
             target.runs.count(request_id) for target in self.targets_by_name.values()
--- a/tests/router/slow_links.py
+++ b/tests/router/slow_links.py
@@ -20,7 +20,7 @@
 from swiftpin.router.gossip import Gossip
 from tests.router.site import configuration, route
 
-LATENCY: Final = 0.002
+ONE_WAY_LATENCY: Final = 0.002
 """Seconds on the way between two instances, one way."""
 
 SOCKET_BUFFER: Final = 64 * 1024
@@ -43,7 +43,7 @@
         self._free_at = 0.0
         self.bytes_from_peers = 0
 
-    def pass_on(self, size: float, arrives_at: float) -> float:
+    def transmit(self, size: float, arrives_at: float) -> float:
         """Return when some bytes have passed that arrive at a time."""
         self._free_at = max(self._free_at, arrives_at) + size / self.bandwidth
         return self._free_at
@@ -69,8 +69,8 @@
         body = message.SerializeToString()
         size = len(body) + FRAME_HEAD
         now = asyncio.get_running_loop().time()
-        left_at = self._outgoing.pass_on(size, now)
-        read_at = self._peer._incoming.pass_on(size, left_at + LATENCY)
+        left_at = self._outgoing.transmit(size, now)
+        read_at = self._peer._incoming.transmit(size, left_at + ONE_WAY_LATENCY)
         self._peer._incoming.bytes_from_peers += size
         self._peer._arriving.append((read_at, body))
         self._peer._arrived.set()
@@ -161,7 +161,7 @@
         while True:
             now = asyncio.get_running_loop().time()
             for port in (self.outgoing, self.incoming):
-                port.pass_on(port.bandwidth * CALLERS_SHARE * CALLERS_PAUSE, now)
+                port.transmit(port.bandwidth * CALLERS_SHARE * CALLERS_PAUSE, now)
             await asyncio.sleep(CALLERS_PAUSE)
 
     def _note_adopted(self) -> None:
@@ -173,16 +173,16 @@
 class Outcome:
     """What a change of the configuration did to a fleet."""
 
-    told_at_by_version: dict[int, float] = field(default_factory=dict)
+    watched_at_by_version: dict[int, float] = field(default_factory=dict)
     """When the watchers of the store had each version."""
 
     members: list[Member]
     watchers: list[Member]
     links_lost: int = 0
 
-    def longest_wait(self, version: int) -> float:
+    def max_delay(self, version: int) -> float:
         """Return the time until the last member had a version, or a later one."""
-        told_at = self.told_at_by_version[version]
+        told_at = self.watched_at_by_version[version]
         return max(
             min(
                 (at for v, at in m.adopted_at_by_version.items() if v >= version),
@@ -202,7 +202,7 @@
     return configuration(version, paths)
 
 
-async def async_spread(
+async def async_distribute(
     documents: list[dict[str, Any]],
     *,
     members: int,
@@ -233,7 +233,7 @@
     for version, document in enumerate(documents, 1):
         for watcher in outcome.watchers:
             watcher.adopt_from_store(document)
-        outcome.told_at_by_version[version] = asyncio.get_running_loop().time()
+        outcome.watched_at_by_version[version] = asyncio.get_running_loop().time()
         await asyncio.sleep(pause)
     await asyncio.sleep(settle)
     outcome.links_lost = sum(link.is_closed for link in links)
--- a/tests/router/store_standin.py
+++ b/tests/router/store_standin.py
@@ -49,14 +49,14 @@
         self.calls: list[str] = []
         self.address = ""
         self._events: list[tuple[int, str, dict[str, Any], bool]] = []
-        self._forgotten = 0
+        self._oldest_revision = 0
         self._changed = asyncio.Event()
         self._runner: AppRunner | None = None
 
     async def async_setup(self) -> None:
         """Listen on a free port."""
         app = Application()
-        app.on_response_prepare.append(self._async_tell_era)
+        app.on_response_prepare.append(self._async_add_era)
         app.router.add_route("*", "/api/objects/{kind}", self._async_kind)
         app.router.add_route("*", "/api/objects/{kind}/{name:.+}", self._async_object)
         self._runner = AppRunner(app, shutdown_timeout=0.1)
@@ -81,9 +81,9 @@
     def remove(self, kind: str, name: str) -> None:
         """Remove an object."""
         self.revision += 1
-        gone = self.objects_by_path.pop((kind, name))
-        gone["metadata"]["revision"] = self.revision
-        self._note(kind, gone, deleted=True)
+        removed = self.objects_by_path.pop((kind, name))
+        removed["metadata"]["revision"] = self.revision
+        self._append_event(kind, removed, deleted=True)
 
     def copy(self) -> StoreCopy:
         """Return what there is now, to come back to."""
@@ -94,14 +94,14 @@
     def restore(self, copy: StoreCopy) -> None:
         """Come back from an older copy: what was written since is lost."""
         self.objects_by_path = deepcopy(copy.objects_by_path)
-        self.revision = self._forgotten = copy.revision
+        self.revision = self._oldest_revision = copy.revision
         self._events.clear()
         self.era = str(int(self.era or 0) + 1)
         self._wake()
 
     def forget_history(self) -> None:
         """Answer watches from before now with 410."""
-        self._forgotten = self.revision
+        self._oldest_revision = self.revision
         self._wake()
 
     def _store(self, kind: str, name: str, created: int, content: object) -> None:
@@ -117,9 +117,9 @@
             "status": None,
         }
         self.objects_by_path[kind, name] = item
-        self._note(kind, item, deleted=False)
+        self._append_event(kind, item, deleted=False)
 
-    def _note(self, kind: str, item: dict[str, Any], *, deleted: bool) -> None:
+    def _append_event(self, kind: str, item: dict[str, Any], *, deleted: bool) -> None:
         self._events.append((self.revision, kind, item, deleted))
         self._wake()
 
@@ -127,7 +127,7 @@
         changed, self._changed = self._changed, asyncio.Event()
         changed.set()
 
-    async def _async_tell_era(self, request: Request, response: StreamResponse) -> None:
+    async def _async_add_era(self, request: Request, response: StreamResponse) -> None:
         if self.era is not None:
             response.headers["Store-Era"] = self.era
 
@@ -182,7 +182,7 @@
         loop = asyncio.get_running_loop()
         until = loop.time() + int(request.query["wait_ms"]) / 1000
         while True:
-            if since < self._forgotten or since > self.revision:
+            if since < self._oldest_revision or since > self.revision:
                 return Response(status=410)
             events = [
                 {"object": item, "deleted": deleted}
--- a/tests/router/target_standin.py
+++ b/tests/router/target_standin.py
@@ -39,15 +39,15 @@
         self.runs: list[str] = []
         self.deadlines: list[int] = []
         self.held: list[HeldRange] = []
-        self.loses_grant_answers = 0
-        self.loses_release_answers = 0
-        self.breaks_answers = 0
-        self.sheds = 0
-        self.crashed: asyncio.Task[None] | None = None
+        self.grant_answers_to_lose = 0
+        self.release_answers_to_lose = 0
+        self.answers_to_break = 0
+        self.requests_to_refuse = 0
+        self.crash_task: asyncio.Task[None] | None = None
         self.born: int | None = None
         self.earlier_fences: list[tuple[int, int, int]] = []
         self.running = 0
-        self.most_running = 0
+        self.max_running = 0
         self.granted_fences: list[tuple[int, int, int]] = []
         self._highest_fences: list[tuple[int, int, int]] = []
         self._runner: AppRunner | None = None
@@ -99,7 +99,7 @@
     def crash(self) -> None:
         """End without a word, soon."""
         loop = asyncio.get_running_loop()
-        self.crashed = loop.create_task(self.async_unload())
+        self.crash_task = loop.create_task(self.async_unload())
 
     def entry(self, service: str, *, state: str = "ready") -> dict[str, Any]:
         """Return the target's entry in the store."""
@@ -123,7 +123,7 @@
             held.first <= key <= held.last and now < held.until for held in self.held
         )
 
-    def _other(self, request: Request) -> Response | None:
+    def _reject_if_other_target(self, request: Request) -> Response | None:
         expected = request.headers.get("Swiftpin-Expected-Instance", self.name)
         if expected == self.name:
             return None
@@ -133,7 +133,7 @@
         return Response(headers={"Swiftpin-Instance-Id": self.name})
 
     async def _async_grant(self, request: Request) -> Response:
-        if (other := self._other(request)) is not None:
+        if (other := self._reject_if_other_target(request)) is not None:
             return other
         if not self.is_keyed:
             return Response(status=400)
@@ -146,33 +146,33 @@
             return Response(status=409)
         self._highest_fences.append((first, last, fence))
         self.granted_fences.append((first, last, fence))
-        self._cut(first, last)
+        self._remove_keys(first, last)
         until = asyncio.get_running_loop().time() + body["hold_ms"] / 1000
         self.held.append(HeldRange(first=first, last=last, fence=fence, until=until))
-        if self.loses_grant_answers:
-            self.loses_grant_answers -= 1
+        if self.grant_answers_to_lose:
+            self.grant_answers_to_lose -= 1
             assert request.transport is not None
             request.transport.abort()
         return json_response({})
 
     async def _async_release(self, request: Request) -> Response:
-        if (other := self._other(request)) is not None:
+        if (other := self._reject_if_other_target(request)) is not None:
             return other
         if not self.is_keyed:
             return Response(status=400)
         body = await request.json()
         self._highest_fences.append((body["from"], body["to"], body["fence"]))
         held = self.holds(body["from"])
-        self._cut(body["from"], body["to"])
-        if self.loses_release_answers:
-            self.loses_release_answers -= 1
+        self._remove_keys(body["from"], body["to"])
+        if self.release_answers_to_lose:
+            self.release_answers_to_lose -= 1
             assert request.transport is not None
             request.transport.abort()
         while held and self.running:  # noqa: ASYNC110  # a stand-in may poll
             await asyncio.sleep(0.005)
         return Response(headers={"Swiftpin-Handover": f"from-{self.name}"})
 
-    def _cut(self, first: int, last: int) -> None:
+    def _remove_keys(self, first: int, last: int) -> None:
         kept = []
         for held in self.held:
             for low, high in (
@@ -188,14 +188,14 @@
         self.held = kept
 
     async def _async_work(self, request: Request) -> Response:
-        if (other := self._other(request)) is not None:
+        if (other := self._reject_if_other_target(request)) is not None:
             return other
         key = request.headers.get("Swiftpin-Shard-Key")
         not_run = {"Swiftpin-Not-Executed": "1", "Swiftpin-Instance-Id": self.name}
         if self.is_keyed and (key is None or not self.holds(int(key))):
             return Response(status=421, headers=not_run)
-        if self.sheds:
-            self.sheds -= 1
+        if self.requests_to_refuse:
+            self.requests_to_refuse -= 1
             return Response(status=503, headers=not_run)
         body = await request.read()
         request_id = request.headers["Swiftpin-Request-Id"]
@@ -206,13 +206,13 @@
             self.crash()
         self.deadlines.append(int(request.headers["Swiftpin-Deadline-Milliseconds"]))
         self.running += 1
-        self.most_running = max(self.most_running, self.running)
+        self.max_running = max(self.max_running, self.running)
         try:
             await asyncio.sleep(self.work)
         finally:
             self.running -= 1
-        if self.breaks_answers:
-            self.breaks_answers -= 1
+        if self.answers_to_break:
+            self.answers_to_break -= 1
             assert request.transport is not None
             request.transport.abort()
         return Response(
--- a/tests/router/test_callers_that_left.py
+++ b/tests/router/test_callers_that_left.py
@@ -32,7 +32,7 @@
         path = "/files/x" if number % 2 else "/read/x"
         call_and_leave(site, path, request_id, number * 3000)
     await asyncio.sleep(0.5)
-    assert [site.runs_of(request_id) for request_id in ids] == [0] * CALLERS
+    assert [site.count_runs(request_id) for request_id in ids] == [0] * CALLERS
     assert (await site.async_call("/files/x")).status == 200
 
 
@@ -47,6 +47,6 @@
             f"Swiftpin-Deadline-Milliseconds: 2000\r\n\r\n".encode()
         )
     async with asyncio.timeout(5):
-        while not (site.runs_of("kept-1") and site.runs_of("kept-2")):
+        while not (site.count_runs("kept-1") and site.count_runs("kept-2")):
             assert await reader.read(1000)
     writer.close()
--- a/tests/router/test_configuration_lag.py
+++ b/tests/router/test_configuration_lag.py
@@ -7,10 +7,10 @@
 import pytest
 
 from swiftpin.helpers.clock import suspend_aware_now
-from swiftpin.router.configuration_lag import TOLD_LAG, ConfigurationLag
+from swiftpin.router.configuration_lag import MAX_NOTIFICATION_DELAY, ConfigurationLag
 from tests.router.site import BOUNDS, ROUTES, Site, configuration, route
 
-LIMIT = BOUNDS.apply_limit - TOLD_LAG
+LIMIT = BOUNDS.apply_limit - MAX_NOTIFICATION_DELAY
 
 
 @pytest.fixture(name="lag")
@@ -18,32 +18,34 @@
     """Return the lag of an instance with version 5 in force, at second 10."""
     lag = ConfigurationLag()
     lag.set_apply_bound(BOUNDS.apply_limit)
-    lag.note_adopted(5)
+    lag.record_adopted(5)
     return lag
 
 
-def test_known_version_makes_nothing_outdated(lag: ConfigurationLag) -> None:
+def test_known_version_does_not_make_an_instance_outdated(
+    lag: ConfigurationLag,
+) -> None:
     """Others that know the same, or less, say nothing new."""
-    lag.note_told(5, in_force=5, now=10.0)
-    lag.note_told(4, in_force=5, now=10.0)
+    lag.record_announced(5, in_force=5, now=10.0)
+    lag.record_announced(4, in_force=5, now=10.0)
     assert not lag.is_outdated(1_000.0)
 
 
-def test_time_counts_from_the_first_word_of_the_oldest(lag: ConfigurationLag) -> None:
+def test_limit_starts_with_the_oldest_announcement(lag: ConfigurationLag) -> None:
     """Guards against versions in quick succession that put the limit off for ever."""
     for step in range(10):
-        lag.note_told(6 + step, in_force=5, now=10.0 + step * LIMIT / 5)
+        lag.record_announced(6 + step, in_force=5, now=10.0 + step * LIMIT / 5)
     assert not lag.is_outdated(10.0 + LIMIT)
     assert lag.is_outdated(10.0 + LIMIT + 0.01)
-    lag.note_adopted(7)
+    lag.record_adopted(7)
     assert not lag.is_outdated(10.0 + LIMIT * 7 / 5)
     assert lag.is_outdated(10.0 + LIMIT * 7 / 5 + 0.01)
 
 
-def test_adopted_version_ends_it(lag: ConfigurationLag) -> None:
+def test_adopted_version_ends_the_lag(lag: ConfigurationLag) -> None:
     """An instance that has caught up answers again."""
-    lag.note_told(6, in_force=5, now=10.0)
-    lag.note_adopted(6)
+    lag.record_announced(6, in_force=5, now=10.0)
+    lag.record_adopted(6)
     assert not lag.is_outdated(1_000.0)
 
 
@@ -51,7 +53,7 @@
     lag: ConfigurationLag,
 ) -> None:
     """Guards against a fleet that refuses all requests for as long as an outage."""
-    lag.note_told(6, in_force=5, now=10.0)
+    lag.record_announced(6, in_force=5, now=10.0)
     assert lag.is_refusing(10.0 + BOUNDS.apply_limit)
     lag.has_source = False
     assert not lag.is_refusing(10.0 + BOUNDS.apply_limit)
@@ -64,7 +66,7 @@
     """Guards against a final 404 where only a lost instance knew a new route."""
     monkeypatch.setattr(ConfigurationLag, "is_refusing", lambda self, now: False)
     lag = site.routers_by_name["i1"]._configuration.lag
-    lag.note_told(2, in_force=1, now=suspend_aware_now() - BOUNDS.apply_limit)
+    lag.record_announced(2, in_force=1, now=suspend_aware_now() - BOUNDS.apply_limit)
     assert (await site.async_call("/added/x", via="i1")).status == 503
     assert (await site.async_call("/read/x", via="i1")).status == 200
 
--- a/tests/router/test_decision_basis.py
+++ b/tests/router/test_decision_basis.py
@@ -17,11 +17,11 @@
         ((3, 41), 0.25, "neighbour", "key_map=3.41 targets=7 targets_age_ms=250"),
     ],
 )
-def test_pairs_tell_what_is_known_and_how_old_it_is(
+def test_log_fields_show_versions_and_age(
     key_map: tuple[int, int] | None, age: float, source: str, pairs: str
 ) -> None:
     """A list of targets that nobody confirmed yet is of unknown age."""
     basis = DecisionBasis(
         key_map=key_map, targets=7, targets_age=age, targets_source=source
     )
-    assert basis.pairs() == f"{pairs} targets_source={source}"
+    assert basis.format_fields() == f"{pairs} targets_source={source}"
--- a/tests/router/test_large_configurations.py
+++ b/tests/router/test_large_configurations.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.fleet.virtual_time import run_in_virtual_time
-from tests.router.slow_links import Outcome, async_spread, large_configuration
+from tests.router.slow_links import Outcome, async_distribute, large_configuration
 
 ROUTES: Final = 2_000
 VERSIONS: Final = 5
@@ -24,7 +24,7 @@
     """Return what large configurations in quick succession do to a fleet."""
     documents = [large_configuration(1 + v, ROUTES) for v in range(count)]
     return run_in_virtual_time(
-        async_spread(
+        async_distribute(
             documents,
             members=24,
             watchers=4,
@@ -44,7 +44,7 @@
 
 def test_large_configuration_is_in_force_in_time(spread: Outcome) -> None:
     """Guards against instances that fall ever further behind successive versions."""
-    waits = [spread.longest_wait(version) for version in range(1, VERSIONS + 1)]
+    waits = [spread.max_delay(version) for version in range(1, VERSIONS + 1)]
     assert max(waits) < APPLY_LIMIT
 
 
--- a/tests/router/test_owner_finder.py
+++ b/tests/router/test_owner_finder.py
@@ -32,7 +32,7 @@
         return target_id in self.reachable
 
 
-class Found:
+class FinderSetup:
     """An owner finder and what it looks at."""
 
     def __init__(self) -> None:
@@ -77,25 +77,25 @@
 
 
 @pytest.fixture(name="found")
-def found_fixture(monkeypatch: pytest.MonkeyPatch) -> Found:
+def found_fixture(monkeypatch: pytest.MonkeyPatch) -> FinderSetup:
     """Return a finder that waits for owners as long as the tests let it."""
-    monkeypatch.setattr(owner_finder, "OWNER_WAIT", 5.0)
-    return Found()
+    monkeypatch.setattr(owner_finder, "MAX_OWNER_WAIT", 5.0)
+    return FinderSetup()
 
 
-async def test_owner_in_the_map_is_found(found: Found) -> None:
+async def test_owner_in_the_map_is_found(found: FinderSetup) -> None:
     """A key that has an owner waits for nothing."""
     found.set_owner("a", 1)
     assert await found.finder.async_find(make_call()) == "a"
 
 
-async def test_request_without_a_key_has_no_owner(found: Found) -> None:
+async def test_request_without_a_key_has_no_owner(found: FinderSetup) -> None:
     """A keyed service can't serve a request that names no key."""
     with pytest.raises(NoOwnerError):
         await found.finder.async_find(make_call(None))
 
 
-async def test_key_on_the_move_is_waited_for(found: Found) -> None:
+async def test_key_on_the_move_is_waited_for(found: FinderSetup) -> None:
     """A request that comes during a move goes to the new owner."""
     found.set_owner("", 1)
     task = asyncio.ensure_future(found.finder.async_find(make_call()))
@@ -104,7 +104,7 @@
     assert await task == "b"
 
 
-async def test_owner_that_left_gets_nothing(found: Found) -> None:
+async def test_owner_that_left_gets_no_requests(found: FinderSetup) -> None:
     """Symptom: requests go to a target whose drain time is over.
 
     Sequence: the owner of a key leaves; the map still names it.
@@ -119,19 +119,19 @@
     assert await task == "b"
 
 
-async def test_wait_for_an_owner_ends(
-    found: Found, monkeypatch: pytest.MonkeyPatch
+async def test_wait_for_an_owner_is_limited(
+    found: FinderSetup, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A key that stays without owner is given up, with a time to come back."""
-    monkeypatch.setattr(owner_finder, "OWNER_WAIT", 0.0)
+    monkeypatch.setattr(owner_finder, "MAX_OWNER_WAIT", 0.0)
     found.set_owner("", 1)
     with pytest.raises(NoOwnerError) as caught:
         await found.finder.async_find(make_call())
-    assert caught.value.retry_after == owner_finder.OWNER_RETRY
+    assert caught.value.retry_after == owner_finder.NO_OWNER_RETRY_AFTER
 
 
 async def test_owner_that_failed_is_tried_again_after_a_pause(
-    found: Found, monkeypatch: pytest.MonkeyPatch
+    found: FinderSetup, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The map is given a moment to change before the same owner is tried again."""
     monkeypatch.setattr(owner_finder, "SAME_TARGET_PAUSE", 5.0)
--- a/tests/router/test_planned_stop.py
+++ b/tests/router/test_planned_stop.py
@@ -32,8 +32,8 @@
         )
         handler = SimpleNamespace(
             in_flight=in_flight,
-            refuse_new=lambda: self._note("refuse new"),
-            refuse_waiting=lambda: self._note("refuse waiting"),
+            refuse_new_requests=lambda: self._note("refuse new"),
+            refuse_waiting_requests=lambda: self._note("refuse waiting"),
         )
         callers = SimpleNamespace(stop_listening=lambda: self._note("stop listening"))
         self.stop = PlannedStop(
--- a/tests/router/test_poison_reports.py
+++ b/tests/router/test_poison_reports.py
@@ -5,13 +5,13 @@
 from swiftpin.fleet.proto import fleet_pb2 as pb
 from swiftpin.keyranges.lease_record import LeaseRecord
 from swiftpin.router.known_leader import KnownLeader
-from swiftpin.router.poison_reports import PoisonReports
-from swiftpin.router.poison_watch import (
-    CRASHES,
-    MEMORY,
+from swiftpin.router.poison_detector import (
+    MIN_CRASHED_TARGETS,
     QUARANTINE_TIME,
-    PoisonWatch,
+    SUSPECT_LIFETIME,
+    PoisonDetector,
 )
+from swiftpin.router.poison_reports import PoisonReports
 from tests.router.fleet_fakes import FakeLink, make_links
 
 FINGERPRINT = 77
@@ -26,42 +26,42 @@
     leader.adopt_record(
         LeaseRecord(holder="leader/1", peer=link.peer, term=1, renewal=0)
     )
-    poison = PoisonWatch()
+    poison = PoisonDetector()
     PoisonReports(links, leader, poison)
     poison.on_suspect(FINGERPRINT, "t1", NOW)
     (item,) = link.sent
     assert (item.suspect.fingerprint, item.suspect.target) == (FINGERPRINT, "t1")
 
 
-def test_verdict_goes_to_everyone_and_is_taken() -> None:
+def test_quarantine_is_sent_to_all_and_applied() -> None:
     """The instance that counts tells all, and those refuse the request."""
     member = FakeLink("member")
     links = make_links(member)
-    counting = PoisonReports(links, KnownLeader(links), PoisonWatch())
-    for number in range(CRASHES):
+    counting = PoisonReports(links, KnownLeader(links), PoisonDetector())
+    for number in range(MIN_CRASHED_TARGETS):
         suspect = pb.Suspect(fingerprint=FINGERPRINT, target=f"t{number}")
-        counting.take_suspect(suspect, NOW)
+        counting.handle_suspect(suspect, NOW)
     (item,) = member.sent
-    poison = PoisonWatch()
+    poison = PoisonDetector()
     told = PoisonReports(make_links(), KnownLeader(make_links()), poison)
-    told.take_quarantine(item.quarantine, NOW)
+    told.handle_quarantine(item.quarantine, NOW)
     assert poison.is_quarantined(FINGERPRINT, NOW)
 
 
-def test_suspects_are_counted_on_after_a_takeover() -> None:
+def test_suspects_are_still_counted_after_a_takeover() -> None:
     """Failure: a new leader knew no crashes, and the request crashed as many again."""
     old, new = (FakeLink(name, is_outgoing=True) for name in ("old", "new"))
     links = make_links(old, new)
     leader = KnownLeader(links)
-    poison = PoisonWatch()
+    poison = PoisonDetector()
     reports = PoisonReports(links, leader, poison)
     leader.adopt_record(LeaseRecord(holder="old/1", peer=old.peer, term=1, renewal=0))
-    for number in range(CRASHES - 1):
+    for number in range(MIN_CRASHED_TARGETS - 1):
         poison.on_suspect(FINGERPRINT, f"t{number}", NOW)
-    reports.report(NOW)
+    reports.report_suspects(NOW)
     leader.adopt_record(LeaseRecord(holder="new/1", peer=new.peer, term=2, renewal=0))
-    reports.report(NOW + 1)
-    reports.report(NOW + 2)
+    reports.report_suspects(NOW + 1)
+    reports.report_suspects(NOW + 2)
     assert [item.suspect.target for item in old.sent] == ["t0", "t1"]
     assert [item.suspect.target for item in new.sent] == ["t0", "t1"]
 
@@ -71,42 +71,42 @@
     link = FakeLink("leader", is_outgoing=True)
     links = make_links()
     leader = KnownLeader(links)
-    poison = PoisonWatch()
+    poison = PoisonDetector()
     reports = PoisonReports(links, leader, poison)
     poison.on_suspect(FINGERPRINT, "t1", NOW)
-    reports.report(NOW)
+    reports.report_suspects(NOW)
     links.outgoing_by_peer[link.peer] = link
     leader.adopt_record(
         LeaseRecord(holder="leader/1", peer=link.peer, term=1, renewal=0)
     )
-    reports.report(NOW + 1)
+    reports.report_suspects(NOW + 1)
     assert [item.suspect.target for item in link.sent] == ["t1"]
 
 
-def test_own_suspects_are_forgotten_in_time() -> None:
+def test_own_suspects_expire() -> None:
     """A crash of long ago is reported to nobody."""
     link = FakeLink("leader", is_outgoing=True)
     links = make_links(link)
     leader = KnownLeader(links)
-    poison = PoisonWatch()
+    poison = PoisonDetector()
     reports = PoisonReports(links, leader, poison)
     poison.on_suspect(FINGERPRINT, "t1", NOW)
-    reports.report(NOW)
+    reports.report_suspects(NOW)
     leader.adopt_record(
         LeaseRecord(holder="leader/1", peer=link.peer, term=1, renewal=0)
     )
-    reports.report(NOW + MEMORY)
+    reports.report_suspects(NOW + SUSPECT_LIFETIME)
     assert not link.sent
 
 
-def test_verdicts_are_told_to_instances_that_start() -> None:
+def test_quarantines_are_sent_to_new_instances() -> None:
     """Failure: an instance that had just started let a quarantined request pass."""
-    poison = PoisonWatch()
+    poison = PoisonDetector()
     reports = PoisonReports(make_links(), KnownLeader(make_links()), poison)
     poison.quarantine(FINGERPRINT, NOW)
     started = FakeLink("started")
-    reports.give(started, NOW + 1)
+    reports.send_quarantines(started, NOW + 1)
     (item,) = started.sent
     assert list(item.quarantine.fingerprints) == [FINGERPRINT]
-    reports.give(started, NOW + QUARANTINE_TIME)
+    reports.send_quarantines(started, NOW + QUARANTINE_TIME)
     assert len(started.sent) == 1
--- a/tests/router/test_request_log.py
+++ b/tests/router/test_request_log.py
@@ -50,8 +50,8 @@
     site: Site, logging: LoggingSetup
 ) -> None:
     """The counters tell why requests need second sends."""
-    site.earn_retries()
-    site.targets_by_name[owner_of(site, 1)].sheds = 1
+    site.earn_retry_credit()
+    site.targets_by_name[owner_of(site, 1)].requests_to_refuse = 1
     reply = await site.async_call("/read/x", via=INSTANCE)
     assert reply.status == 200
     (line,) = lines_of(logging, reply.headers["id"])
@@ -87,9 +87,7 @@
     assert sample(router, name, service="desk", reason="time_over") == 1
 
 
-async def test_request_whose_time_ends_at_a_target_says_so(
-    site: Site, logging: LoggingSetup
-) -> None:
+async def test_timeout_at_a_target_is_logged(site: Site, logging: LoggingSetup) -> None:
     """The line names the target that had the request when its time ended."""
     owner = owner_of(site, 1)
     site.targets_by_name[owner].work = 1.0
@@ -118,7 +116,7 @@
     assert sample(router, count, service="desk") == 1
 
 
-async def test_line_names_the_map_that_decided(
+async def test_line_names_the_map_that_the_target_was_chosen_by(
     site: Site, logging: LoggingSetup
 ) -> None:
     """Symptom: a line named a key map that came after its request was sent.
@@ -143,7 +141,7 @@
     assert line["targets"] == str(revision)
 
 
-async def test_fault_of_the_router_is_answered_as_unknown(
+async def test_internal_error_is_answered_as_unknown(
     site: Site, logging: LoggingSetup, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Symptom: a caller was told that its request was malformed and had not run.
@@ -160,7 +158,7 @@
 
     monkeypatch.setattr(RequestSender, "async_send", async_fail)
     reply = await site.async_call("/book/x", via=INSTANCE, method="POST")
-    assert site.runs_of(reply.headers["id"]) == 1
+    assert site.count_runs(reply.headers["id"]) == 1
     assert reply.status == 500
     assert b'"executed":"unknown"' in reply.body.replace(b" ", b"")
     (line,) = lines_of(logging, reply.headers["id"])
--- a/tests/router/test_retry_budget.py
+++ b/tests/router/test_retry_budget.py
@@ -9,7 +9,9 @@
 
 NOW = 100.0
 WINDOW = 10.0
-LIMITS = RetryLimits(earned=0.25, saved_ratio=0.05, slack=0.0, window=WINDOW)
+LIMITS = RetryLimits(
+    earned_per_request=0.25, max_saved_per_request=0.05, slack=0.0, window=WINDOW
+)
 
 
 @pytest.fixture(name="budget")
@@ -33,14 +35,14 @@
         budget.record_request(LIMITS, now)
 
 
-def test_start_brings_no_retries(budget: RetryBudget) -> None:
+def test_new_instance_has_no_retries(budget: RetryBudget) -> None:
     """Failure: each process that started had the retries of a whole window."""
     assert spend_all(budget, LIMITS, NOW) == 0
     record(budget, 4, NOW)
     assert spend_all(budget, LIMITS, NOW) == 1
 
 
-def test_retries_that_nobody_needed_are_saved_in_part(budget: RetryBudget) -> None:
+def test_unused_retries_are_saved_in_part(budget: RetryBudget) -> None:
     """What was saved is a part of what the window before may have."""
     record(budget, 100, NOW)
     assert spend_all(budget, LIMITS, NOW) == 5
@@ -48,13 +50,13 @@
     assert spend_all(budget, LIMITS, NOW) == 10
 
 
-def test_savings_of_a_service_that_falls_silent_end(budget: RetryBudget) -> None:
+def test_saved_retries_of_an_idle_service_expire(budget: RetryBudget) -> None:
     """Failure: requests of more than a window ago paid for retries."""
     record(budget, 100, NOW)
     assert spend_all(budget, LIMITS, NOW + WINDOW) == 1
 
 
-def test_retries_may_be_as_many_as_earned(budget: RetryBudget) -> None:
+def test_all_earned_retries_can_be_spent(budget: RetryBudget) -> None:
     """A service that rejects all the time uses its whole ratio."""
     spent = 0
     for number in range(400):
@@ -63,9 +65,11 @@
     assert spent == 100
 
 
-def test_slack_is_spent_once_a_window(budget: RetryBudget) -> None:
+def test_slack_is_spent_once_per_window(budget: RetryBudget) -> None:
     """The slack is there again when the retries have left the window."""
-    limits = RetryLimits(earned=0.0, saved_ratio=0.0, slack=4.0, window=WINDOW)
+    limits = RetryLimits(
+        earned_per_request=0.0, max_saved_per_request=0.0, slack=4.0, window=WINDOW
+    )
     # One of the four may be saved of what was earned instead.
     assert spend_all(budget, limits, NOW) == 3
     assert spend_all(budget, limits, NOW + WINDOW - 0.1) == 0
@@ -74,7 +78,9 @@
 
 def test_reserved_retries_count_when_they_are_sent(budget: RetryBudget) -> None:
     """Failure: retries that waited for permits arrived beside those of a window."""
-    limits = RetryLimits(earned=0.0, saved_ratio=0.0, slack=4.0, window=WINDOW)
+    limits = RetryLimits(
+        earned_per_request=0.0, max_saved_per_request=0.0, slack=4.0, window=WINDOW
+    )
     for _ in range(3):
         assert budget.reserve(limits, NOW)
     assert not budget.reserve(limits, NOW)
--- a/tests/router/test_retry_members.py
+++ b/tests/router/test_retry_members.py
@@ -8,14 +8,16 @@
 from swiftpin.router import fleet_size
 from tests.router.site import BOUNDS, Site
 
-SETTLE = 1.0
+SHARE_DELAY = 1.0
 """Seconds after which an instance has its share, here."""
 
 
 @pytest.fixture(autouse=True)
 def settle_fixture(monkeypatch: pytest.MonkeyPatch) -> None:
     """Let instances have their share sooner."""
-    monkeypatch.setattr(fleet_size, "ANNOUNCEMENT_TIME", SETTLE - BOUNDS.retry_window)
+    monkeypatch.setattr(
+        fleet_size, "ANNOUNCEMENT_TIME", SHARE_DELAY - BOUNDS.retry_window
+    )
 
 
 def members(site: Site) -> dict[str, int | None]:
@@ -40,7 +42,7 @@
     started_at = suspend_aware_now()
     router = await site.async_add_router(restarted)
     await site.async_wait(lambda: members(site)[restarted] is not None)
-    assert suspend_aware_now() - started_at > SETTLE
+    assert suspend_aware_now() - started_at > SHARE_DELAY
     assert router._sender.retries.members(suspend_aware_now()) in (2, 3)
 
 
--- a/tests/router/test_site.py
+++ b/tests/router/test_site.py
@@ -63,12 +63,12 @@
 
 async def test_refused_request_is_sent_again(site: Site) -> None:
     """A target's word that it did not run allows a second try, for any kind."""
-    site.earn_retries()
+    site.earn_retry_credit()
     target = site.targets_by_name[owners(site, 1)[0]]
-    target.sheds = 1
+    target.requests_to_refuse = 1
     reply = await site.async_call("/book/x", method="POST", body=b"x")
     assert reply.status == 200
-    assert site.runs_of(reply.headers["id"]) == 1
+    assert site.count_runs(reply.headers["id"]) == 1
 
 
 async def test_lost_answer_is_not_repeated_for_once_only(site: Site) -> None:
@@ -78,20 +78,20 @@
     Cause: the send was repeated, here or inside a library.
     """
     target = site.targets_by_name[owners(site, 1)[0]]
-    target.breaks_answers = 1
+    target.answers_to_break = 1
     reply = await site.async_call("/book/x", method="POST", body=b"x")
     assert reply.status == 502
-    assert site.runs_of(reply.headers["id"]) == 1
+    assert site.count_runs(reply.headers["id"]) == 1
 
 
 async def test_lost_answer_is_repeated_for_idempotent(site: Site) -> None:
     """A read whose answer was lost is asked for again."""
-    site.earn_retries()
+    site.earn_retry_credit()
     target = site.targets_by_name[owners(site, 1)[0]]
-    target.breaks_answers = 1
+    target.answers_to_break = 1
     reply = await site.async_call("/read/x")
     assert reply.status == 200
-    assert site.runs_of(reply.headers["id"]) == 2
+    assert site.count_runs(reply.headers["id"]) == 2
 
 
 async def test_slots_are_shared_exactly(site: Site) -> None:
@@ -101,10 +101,10 @@
     calls = [site.async_call("/read/x", via=f"i{n % 2}", key=1) for n in range(6)]
     replies = await asyncio.gather(*calls)
     assert {reply.status for reply in replies} == {200}
-    assert max(t.most_running for t in site.targets_by_name.values()) == 2
+    assert max(t.max_running for t in site.targets_by_name.values()) == 2
 
 
-async def test_refusal_says_when_to_come_back(site: Site) -> None:
+async def test_refusal_has_a_retry_after(site: Site) -> None:
     """What cannot be served in time is refused at once, truly and with a time."""
     for target in site.targets_by_name.values():
         target.work = 0.4
@@ -114,7 +114,7 @@
     assert refused
     for reply in refused:
         assert float(reply.headers["Retry-After"]) > 0
-        assert site.runs_of(reply.headers["id"]) == 0
+        assert site.count_runs(reply.headers["id"]) == 0
 
 
 async def test_timeout_of_the_route_ends_the_wait(site: Site) -> None:
@@ -142,7 +142,7 @@
     assert (await site.async_call("/new/x")).status == 200
 
 
-async def test_history_that_is_gone_is_listed_again(site: Site) -> None:
+async def test_dropped_watch_history_is_followed_by_a_list(site: Site) -> None:
     """Symptom: a change was never seen.
 
     Sequence: the store dropped its history while a change was made.
@@ -233,7 +233,7 @@
         await asyncio.sleep(3600)
 
     monkeypatch.setattr(target_session, "SILENCE_TIMEOUT", 0.3)
-    monkeypatch.setattr(silent, "_other", lambda request: None)
+    monkeypatch.setattr(silent, "_reject_if_other_target", lambda request: None)
     runner, silent._runner = silent._runner, None
     assert runner is not None
     for resource in list(runner.app.router.resources()):
@@ -267,7 +267,7 @@
     assert site.leader() == other
 
 
-async def test_store_away_for_longer_than_the_grants(site: Site) -> None:
+async def test_store_outage_longer_than_the_grants(site: Site) -> None:
     """Symptom: nothing was served in an outage of the store of some seconds.
 
     Sequence: the store answers nobody; the lease and then the grants run out.
@@ -297,7 +297,7 @@
     assert after >= before
 
 
-async def test_planned_stop_cuts_nothing_off(site: Site) -> None:
+async def test_planned_stop_completes_requests_in_flight(site: Site) -> None:
     """Requests in flight end, and the lease goes to another instance."""
     leader = site.leader()
     for target in site.targets_by_name.values():
@@ -316,7 +316,7 @@
     assert reply.status == 200
 
 
-async def test_poison_request_is_stopped(site: Site) -> None:
+async def test_poison_request_is_quarantined(site: Site) -> None:
     """Symptom: one target after the other crashed, each with all its keys.
 
     Sequence: a request crashes whatever runs it; its caller sends it again and again,
@@ -331,15 +331,15 @@
             break
         await asyncio.sleep(0.1)
     assert b"QUARANTINED" in reply.body
-    crashed = [t for t in site.targets_by_name.values() if t.crashed is not None]
-    assert len(crashed) == 3
+    crash_task = [t for t in site.targets_by_name.values() if t.crash_task is not None]
+    assert len(crash_task) == 3
     await asyncio.sleep(0.1)
     for via in site.routers_by_name:
         reply = await site.async_call("/read/poison", via=via, key=1)
         assert b"QUARANTINED" in reply.body
 
 
-async def test_planned_stop_refuses_who_still_waits(site: Site) -> None:
+async def test_planned_stop_refuses_waiting_requests(site: Site) -> None:
     """Symptom: connections ended without an answer at planned stops.
 
     Sequence: requests waited for a slot for longer than the grace period; the process
@@ -357,11 +357,11 @@
     for reply in replies:
         assert reply.status in (200, 503)
         if reply.status == 503:
-            assert site.runs_of(reply.headers["id"]) == 0
+            assert site.count_runs(reply.headers["id"]) == 0
     assert 503 in {reply.status for reply in replies}
 
 
-async def test_refusal_after_a_lost_answer_does_not_say_not_run(
+async def test_refusal_after_a_lost_answer_is_not_reported_as_not_run(
     site: Site, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Symptom: a caller was told that its request did not run, and it had.
@@ -380,9 +380,9 @@
         return await ask(call, owner)
 
     monkeypatch.setattr(sender, "_async_permit", async_permit_once)
-    site.targets_by_name[owners(site, 1)[0]].breaks_answers = 1
+    site.targets_by_name[owners(site, 1)[0]].answers_to_break = 1
     reply = await site.async_call("/read/x")
-    assert site.runs_of(reply.headers["id"]) == 1
+    assert site.count_runs(reply.headers["id"]) == 1
     assert reply.status == 502
     assert "Retry-After" not in reply.headers
 
@@ -399,7 +399,7 @@
     target.work = 0.8
     call = asyncio.create_task(site.async_call("/read/x", key=key))
     await site.async_wait(lambda: target.running == 1)
-    target.loses_release_answers = 1
+    target.release_answers_to_lose = 1
     site.store.put("servers", "t0", target.entry("desk", state="draining"))
     while target.running:
         assert owners(site, key) in ([], ["t0"])
--- a/tests/router/test_start.py
+++ b/tests/router/test_start.py
@@ -29,7 +29,7 @@
     assert "prometheus_client" in loaded_after(scraped)
 
 
-def test_entry_point_loads_nothing_while_python_looks_for_garbage() -> None:
+def test_entry_point_loads_nothing_before_garbage_collection_is_off() -> None:
     """What the imports make is none; the collections would cost 0.06 s of the start."""
     loaded = loaded_after("import swiftpin.router.__main__")
     assert "swiftpin.router.daemon" not in loaded
--- a/tests/router/test_status_endpoints.py
+++ b/tests/router/test_status_endpoints.py
@@ -15,10 +15,10 @@
 from swiftpin.router.configuration_lag import ConfigurationLag
 from swiftpin.router.key_maps import KeyMaps
 from swiftpin.router.metrics import Metrics
-from swiftpin.router.status_endpoints import MAP_WAIT, StatusEndpoints
+from swiftpin.router.status_endpoints import MAX_MAP_WAIT, StatusEndpoints
 
 
-class Starting:
+class StartingInstance:
     """An instance that started at second 0, without a configuration."""
 
     def __init__(self) -> None:
@@ -42,39 +42,43 @@
 
 
 @pytest.fixture(name="starting")
-def starting_fixture() -> Starting:
+def starting_fixture() -> StartingInstance:
     """Return an instance that has just started."""
-    return Starting()
+    return StartingInstance()
 
 
-def test_instance_without_configuration_is_not_ready(starting: Starting) -> None:
+def test_instance_without_configuration_is_not_ready(
+    starting: StartingInstance,
+) -> None:
     """It could route nothing, however long it waits."""
-    assert not starting.status.is_ready(MAP_WAIT + 1)
+    assert not starting.status.is_ready(MAX_MAP_WAIT + 1)
 
 
-def test_instance_waits_for_maps_for_a_while(starting: Starting) -> None:
+def test_instance_waits_for_key_maps_for_a_limited_time(
+    starting: StartingInstance,
+) -> None:
     """Services without keys are served though no assigner is found."""
     starting.configure()
-    assert not starting.status.is_ready(MAP_WAIT)
-    assert starting.status.is_ready(MAP_WAIT + 0.1)
+    assert not starting.status.is_ready(MAX_MAP_WAIT)
+    assert starting.status.is_ready(MAX_MAP_WAIT + 0.1)
     starting.maps.adopt(
         KeyMap(service="desk", term=1, number=1, firsts=(0,), owners=("t1",))
     )
     assert starting.status.is_ready(1.0)
 
 
-def test_leaving_instance_is_not_ready(starting: Starting) -> None:
+def test_leaving_instance_is_not_ready(starting: StartingInstance) -> None:
     """The balancer takes it out."""
     starting.configure()
     starting.lifecycle.leaving = True
-    assert not starting.status.is_ready(MAP_WAIT + 1)
+    assert not starting.status.is_ready(MAX_MAP_WAIT + 1)
 
 
-def test_outdated_instance_is_not_ready(starting: Starting) -> None:
+def test_outdated_instance_is_not_ready(starting: StartingInstance) -> None:
     """Guards against callers that are sent to an instance that refuses them."""
     starting.configure()
     lag = starting.configuration.lag
     lag.set_apply_bound(2.0)
-    lag.note_told(2, in_force=1, now=MAP_WAIT)
-    assert starting.status.is_ready(MAP_WAIT + 0.5)
-    assert not starting.status.is_ready(MAP_WAIT + 2.0)
+    lag.record_announced(2, in_force=1, now=MAX_MAP_WAIT)
+    assert starting.status.is_ready(MAX_MAP_WAIT + 0.5)
+    assert not starting.status.is_ready(MAX_MAP_WAIT + 2.0)
--- a/tests/router/test_target_exchange.py
+++ b/tests/router/test_target_exchange.py
@@ -57,7 +57,7 @@
         """Have a request with a key refused."""
         call = cast(Call, Mock(service="desk"))
         answer = cast(HttpAnswer, Mock(status=status))
-        self.exchange._note_refused(call, PERMIT, answer, REFUSED)
+        self.exchange._handle_refusal(call, PERMIT, answer, REFUSED)
 
     def is_held_against_target(self) -> bool:
         """Return whether the refusal counts as a failure of the target."""
--- a/tests/router/test_target_restart.py
+++ b/tests/router/test_target_restart.py
@@ -60,7 +60,7 @@
     assert (await site.async_call("/read/x", key=key)).status == 200
 
 
-async def test_keys_of_a_known_restart_are_granted_on_without_a_wait(
+async def test_keys_of_a_known_restart_move_without_a_wait(
     site: Site,
 ) -> None:
     """Symptom: two targets held the same keys, or keys waited for a life that ended.
@@ -92,7 +92,7 @@
         assert (await site.async_call("/read/x", key=key)).status == 200
 
 
-async def test_target_that_starts_again_and_again_gets_rising_fences(
+async def test_target_that_restarts_repeatedly_gets_rising_fences(
     site: Site,
 ) -> None:
     """Each life gets fences above those of all lives before it."""
--- a/tests/router/test_answer_way.py
+++ b/tests/router/test_transfer_times.py
@@ -17,9 +17,9 @@
 from swiftpin.model.request_kind import RequestKind
 from swiftpin.model.route import Route, WeightedService
 from swiftpin.permits.permit_query import PermitQuery
-from swiftpin.router.answer_way import PASSES, AnswerWay
 from swiftpin.router.call import Call
 from swiftpin.router.request_sender import RequestSender
+from swiftpin.router.transfer_times import LINK_PASSES, TransferTimes
 from tests.router.test_retry_policy import BOUNDS
 
 ROUTE = Route(
@@ -35,7 +35,7 @@
 )
 
 
-class NotedQueries:
+class RecordingPermits:
     """Takes queries for permits and grants none."""
 
     def __init__(self) -> None:
@@ -62,7 +62,7 @@
 
 async def test_long_answers_need_their_slot_earlier() -> None:
     """The queue is told until when the answer has to begin, not to end."""
-    permits = NotedQueries()
+    permits = RecordingPermits()
     parts: Any = SimpleNamespace()
     sender = RequestSender(
         client=parts,
@@ -75,25 +75,25 @@
         fleet_size=parts,
     )
     await sender._async_permit(make_call(), "")
-    sender.answer_way.note("vault", RequestKind.IDEMPOTENT, 0.1)
+    sender.transfer_times.record("vault", RequestKind.IDEMPOTENT, 0.1)
     await sender._async_permit(make_call(), "")
     before, after = (query.objective_at for query in permits.queries)
     assert before == 11.0
-    assert after == pytest.approx(11.0 - PASSES * 0.1)
+    assert after == pytest.approx(11.0 - LINK_PASSES * 0.1)
 
 
-def test_services_and_kinds_are_told_apart() -> None:
+def test_services_and_kinds_have_separate_estimates() -> None:
     """Short answers of another service need no more time for it."""
-    way = AnswerWay()
-    way.note("vault", RequestKind.IDEMPOTENT, 0.1)
-    assert way.usual("desk", RequestKind.IDEMPOTENT) == 0.0
-    assert way.usual("vault", RequestKind.ONCE) == 0.0
+    way = TransferTimes()
+    way.record("vault", RequestKind.IDEMPOTENT, 0.1)
+    assert way.estimate("desk", RequestKind.IDEMPOTENT) == 0.0
+    assert way.estimate("vault", RequestKind.ONCE) == 0.0
 
 
-def test_mean_follows_what_is_seen() -> None:
+def test_estimate_follows_recent_answers() -> None:
     """A link that became free again counts as such after some answers."""
-    way = AnswerWay()
-    way.note("vault", RequestKind.IDEMPOTENT, 0.4)
+    way = TransferTimes()
+    way.record("vault", RequestKind.IDEMPOTENT, 0.4)
     for _ in range(40):
-        way.note("vault", RequestKind.IDEMPOTENT, 0.01)
-    assert way.usual("vault", RequestKind.IDEMPOTENT) < 0.06
+        way.record("vault", RequestKind.IDEMPOTENT, 0.01)
+    assert way.estimate("vault", RequestKind.IDEMPOTENT) < 0.06
