--- a/swiftpin/bench/decisions/key_owners.py
+++ b/swiftpin/bench/decisions/key_owners.py
@@ -10,11 +10,11 @@
 
 from swiftpin.bench.decisions.event_queue import EventQueue
 from swiftpin.bench.decisions.modelled_target import ModelledTarget
-from swiftpin.keyranges.assignment import divide_evenly
+from swiftpin.keyranges.assignment import divide_by_weight
 from swiftpin.keyranges.const import PLAN_INTERVAL
 from swiftpin.keyranges.key_load import KeyLoad
 from swiftpin.keyranges.planner import plan_moves
-from swiftpin.keyranges.range_assigner import LEAST_JOINED, MOST_JOINED
+from swiftpin.keyranges.range_assigner import MAX_MERGED_SEGMENTS, MIN_MERGED_SEGMENTS
 from swiftpin.keyranges.segment import Segment
 from swiftpin.keyranges.target_speed import TargetSpeed
 
@@ -45,7 +45,7 @@
         self._targets_by_name = targets_by_name
         self._clock = clock
         self._fence = 1
-        self._assignment = divide_evenly(dict.fromkeys(targets_by_name, 1.0), 0)
+        self._assignment = divide_by_weight(dict.fromkeys(targets_by_name, 1.0), 0)
         self._held = self._assignment
         self._known = self._assignment
         for target in targets_by_name.values():
@@ -59,7 +59,7 @@
     def owner_of(self, key: int) -> str:
         """Return the owner as the instances know it, empty while a key moves."""
         segment = self._known.segment_of(key)
-        return "" if segment.former else segment.owner
+        return "" if segment.former_owner else segment.owner
 
     def note_request(self, key: int) -> None:
         """Count a request that came."""
@@ -74,7 +74,7 @@
     def _holds(self, target: str, key: int) -> bool:
         """Return whether a target holds a key."""
         segment = self._held.segment_of(key)
-        return segment.owner == target and not segment.former
+        return segment.owner == target and not segment.former_owner
 
     def _plan(self) -> None:
         """Plan moves and start them."""
@@ -103,10 +103,12 @@
         }
         before = self._assignment
         moves = plan_moves(
-            before, capacities, self.load.rates_by_key, bounds, limited=limited
+            before, capacities, self.load.rates_by_key, bounds, limited_targets=limited
         )
-        joined, joined_fences = before.with_joined(self._fence, MOST_JOINED)
-        if not moves and len(joined_fences) < LEAST_JOINED:
+        joined, joined_fences = before.with_merged_neighbours(
+            self._fence, MAX_MERGED_SEGMENTS
+        )
+        if not moves and len(joined_fences) < MIN_MERGED_SEGMENTS:
             return
         first_fence = self._fence + len(joined_fences)
         self._fence = first_fence + len(moves)
@@ -116,13 +118,13 @@
         self._known = self._held = self._assignment
         self._clock.after(PUBLISH_TIME, self.on_change)
         for segment in self._assignment.segments:
-            if segment.former and segment.fence >= first_fence:
+            if segment.former_owner and segment.fence >= first_fence:
                 self._release(segment)
 
     def _release(self, segment: Segment) -> None:
         """Take the keys from their former owner, then grant them."""
         keys = range(segment.first, segment.last + 1)
-        source = self._targets_by_name[segment.former]
+        source = self._targets_by_name[segment.former_owner]
         self._clock.after(
             CALL_TIME,
             lambda: source.release(
@@ -132,7 +134,7 @@
 
     def _grant(self, segment: Segment) -> None:
         """Give the keys to their new owner."""
-        settled = replace(segment, former="")
+        settled = replace(segment, former_owner="")
         self._assignment = self._assignment.with_replaced(segment, settled)
         self._known = self._held = self._assignment
         self._clock.after(PUBLISH_TIME, self.on_change)
--- a/swiftpin/keyranges/assignment.py
+++ b/swiftpin/keyranges/assignment.py
@@ -8,7 +8,7 @@
 from typing import Any, Final
 
 from swiftpin.exceptions import ConfigurationError
-from swiftpin.keyranges.const import KEYS
+from swiftpin.keyranges.const import KEY_COUNT
 from swiftpin.keyranges.move import Move
 from swiftpin.keyranges.segment import Segment
 from swiftpin.platform.json_fields import (
@@ -22,28 +22,29 @@
 from swiftpin.platform.names import MILLISECONDS_PER_SECOND
 
 ROW_LENGTH: Final = 4
-"""Values of a row: first key, owner, fence, former owner."""
+"""Number of values in a row: first key, owner, fence, former owner."""
 
-ATTR_LONGEST_HOLD: Final = "longest_grant_ms"
+ATTR_MAX_HOLD: Final = "longest_grant_ms"
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Assignment:
-    """Segments that cover all keys, in order."""
+    """Segments that cover all keys, in key order."""
 
     segments: tuple[Segment, ...]
-    longest_hold: float | None = None
-    """Seconds of the longest grant that may still run; None in a record of a version
-    that does not tell."""
+    max_hold: float | None = None
+    """Duration in seconds of the longest grant that may still be valid. None if the
+    record was written by a version that doesn't store it."""
 
     firsts: tuple[int, ...] = field(init=False, repr=False, compare=False)
+    """First key of each segment, for binary search."""
 
     def __post_init__(self) -> None:
         firsts = tuple(segment.first for segment in self.segments)
         object.__setattr__(self, "firsts", firsts)
 
     def segment_of(self, key: int) -> Segment:
-        """Return the segment that holds a key."""
+        """Return the segment that contains a key."""
         return self.segments[bisect_right(self.firsts, key) - 1]
 
     def fences(self) -> set[int]:
@@ -51,18 +52,20 @@
         return {segment.fence for segment in self.segments}
 
     def with_moves(self, moves: Iterable[Move], next_fence: int) -> Assignment:
-        """Return the assignment after moves, each under a fence of its own."""
+        """Return the assignment after moves, each of which gets its own fence."""
         segments = list(self.segments)
         for move in moves:
-            segments = _apply(segments, move, next_fence)
+            segments = _apply_move(segments, move, next_fence)
             next_fence += 1
         return replace(self, segments=tuple(segments))
 
-    def with_joined(self, next_fence: int, most: int) -> tuple[Assignment, list[int]]:
-        """Return the assignment with neighbours of one owner joined, and their fences.
+    def with_merged_neighbours(
+        self, next_fence: int, max_merged: int
+    ) -> tuple[Assignment, list[int]]:
+        """Merge neighbouring segments of the same owner.
 
-        Joined segments get fences of their own, at most `most` of them. Segments on
-        the move stay as they are.
+        Return the assignment and the new fences, one per merged segment and at most
+        `most`. Segments that are being moved are left unchanged.
         """
         joined: list[Segment] = []
         fences: list[int] = []
@@ -71,13 +74,13 @@
             if (
                 last is None
                 or last.owner != segment.owner
-                or last.former
-                or segment.former
+                or last.former_owner
+                or segment.former_owner
             ):
                 joined.append(segment)
             elif fences and last.fence == fences[-1]:
                 joined[-1] = replace(last, last=segment.last)
-            elif len(fences) < most:
+            elif len(fences) < max_merged:
                 fences.append(next_fence + len(fences))
                 joined[-1] = replace(last, last=segment.last, fence=fences[-1])
             else:
@@ -85,29 +88,31 @@
         return replace(self, segments=tuple(joined)), fences
 
     def with_replaced(self, old: Segment, new: Segment) -> Assignment:
-        """Return the assignment with one segment replaced, if it still stands so."""
+        """Return the assignment with a segment replaced, if it still contains it."""
         segments = tuple(
             new if segment == old else segment for segment in self.segments
         )
         return replace(self, segments=segments)
 
-    def without_finished(self, present: Assignment) -> Assignment:
-        """Return this plan without the moves that have ended in the present one."""
-        open_fences = {segment.fence for segment in present.segments if segment.former}
-        finished = present.fences() - open_fences
+    def without_finished_moves(self, current: Assignment) -> Assignment:
+        """Return this plan without the moves that have finished in `current`."""
+        open_fences = {
+            segment.fence for segment in current.segments if segment.former_owner
+        }
+        finished = current.fences() - open_fences
         return replace(
             self,
             segments=tuple(
-                replace(segment, former="")
-                if segment.former and segment.fence in finished
+                replace(segment, former_owner="")
+                if segment.former_owner and segment.fence in finished
                 else segment
                 for segment in self.segments
             ),
         )
 
 
-def _apply(segments: list[Segment], move: Move, fence: int) -> list[Segment]:
-    """Return the segments with one move carried out."""
+def _apply_move(segments: list[Segment], move: Move, fence: int) -> list[Segment]:
+    """Return the segments after a move."""
     result = []
     for segment in segments:
         if segment.last < move.first or segment.first > move.last:
@@ -123,7 +128,7 @@
                 last=last,
                 owner=move.to,
                 fence=fence,
-                former=segment.owner,
+                former_owner=segment.owner,
             )
         )
         if last < segment.last:
@@ -131,39 +136,37 @@
     return result
 
 
-def divide_evenly(
+def divide_by_weight(
     weights_by_target: dict[str, float],
     fence: int,
-    longest_hold: float | None = None,
+    max_hold: float | None = None,
 ) -> Assignment:
-    """Return a first assignment with ranges in proportion to the weights."""
+    """Return an initial assignment with ranges in proportion to the weights."""
     total = sum(weights_by_target.values())
     segments = []
     first = 0
-    passed = 0.0
+    cumulative_weight = 0.0
     for target, weight in sorted(weights_by_target.items()):
-        passed += weight
-        end = round(KEYS * passed / total)
+        cumulative_weight += weight
+        end = round(KEY_COUNT * cumulative_weight / total)
         if end <= first:
             continue
         segments.append(Segment(first=first, last=end - 1, owner=target, fence=fence))
         first = end
-    return Assignment(segments=tuple(segments), longest_hold=longest_hold)
+    return Assignment(segments=tuple(segments), max_hold=max_hold)
 
 
 def encode_assignment(assignment: Assignment) -> dict[str, Any]:
-    """Return the record's content; targets are named once and then numbered."""
+    """Return the record's content; rows refer to targets by their index."""
     numbers: dict[str, int] = {"": 0}
     rows = []
     for segment in assignment.segments:
         owner = numbers.setdefault(segment.owner, len(numbers))
-        former = numbers.setdefault(segment.former, len(numbers))
+        former = numbers.setdefault(segment.former_owner, len(numbers))
         rows.append([segment.first, owner, segment.fence, former])
     content: dict[str, Any] = {"targets": list(numbers), "rows": rows}
-    if assignment.longest_hold is not None:
-        content[ATTR_LONGEST_HOLD] = round(
-            assignment.longest_hold * MILLISECONDS_PER_SECOND
-        )
+    if assignment.max_hold is not None:
+        content[ATTR_MAX_HOLD] = round(assignment.max_hold * MILLISECONDS_PER_SECOND)
     return content
 
 
@@ -175,25 +178,23 @@
         rows = read_list(read_field(fields, "rows"), "rows")
         names = [read_string(name, "a target", may_be_empty=True) for name in targets]
         starts = [_decode_row(row, names) for row in rows]
-        longest_hold = None
-        if ATTR_LONGEST_HOLD in fields:
-            longest_hold = read_integer(fields[ATTR_LONGEST_HOLD], ATTR_LONGEST_HOLD)
+        max_hold = None
+        if ATTR_MAX_HOLD in fields:
+            max_hold = read_integer(fields[ATTR_MAX_HOLD], ATTR_MAX_HOLD)
         return Assignment(
-            segments=_with_lasts(starts),
-            longest_hold=None
-            if longest_hold is None
-            else longest_hold / MILLISECONDS_PER_SECOND,
+            segments=_fill_last_keys(starts),
+            max_hold=None if max_hold is None else max_hold / MILLISECONDS_PER_SECOND,
         )
     except FieldError as err:
         raise ConfigurationError(f"record of an assignment: {err}") from err
 
 
 def _decode_row(row: object, names: list[str]) -> Segment:
-    """Return the segment in a row, as if it ended with its first key."""
+    """Return the segment in a row, with its first key as its last one."""
     values = read_list(row, "a row")
     if len(values) != ROW_LENGTH:
-        raise FieldError("a row has another length")
-    first = read_integer(values[0], "the first key", maximum=KEYS - 1)
+        raise FieldError("a row has the wrong number of values")
+    first = read_integer(values[0], "the first key", maximum=KEY_COUNT - 1)
     owner = names[read_integer(values[1], "the owner", maximum=len(names) - 1)]
     former = names[read_integer(values[3], "the former owner", maximum=len(names) - 1)]
     return Segment(
@@ -201,16 +202,16 @@
         last=first,
         owner=read_string(owner, "the owner"),
         fence=read_integer(values[2], "the fence"),
-        former=former,
+        former_owner=former,
     )
 
 
-def _with_lasts(starts: list[Segment]) -> tuple[Segment, ...]:
-    """Return segments that reach to the next one; they must cover all keys."""
+def _fill_last_keys(starts: list[Segment]) -> tuple[Segment, ...]:
+    """Extend each segment to the next one; raise if they don't cover all keys."""
     firsts = [segment.first for segment in starts]
     if not firsts or firsts[0] != 0 or firsts != sorted(set(firsts)):
-        raise FieldError("the rows do not cover each key once")
-    ends = [*firsts[1:], KEYS]
+        raise FieldError("the rows do not cover each key exactly once")
+    ends = [*firsts[1:], KEY_COUNT]
     return tuple(
         replace(segment, last=end - 1)
         for segment, end in zip(starts, ends, strict=True)
--- a/swiftpin/keyranges/key_map.py
+++ b/swiftpin/keyranges/key_map.py
@@ -1,4 +1,4 @@
-"""Which target serves which key, as the instances route by it."""
+"""Map from keys to the targets that serve them, by which the instances route."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from swiftpin.keyranges.const import KEYS
+from swiftpin.keyranges.const import KEY_COUNT
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OwnerChange:
-    """Keys `first` to `last`, both included, have another owner; empty for none."""
+    """A new owner of keys `first` to `last`, both included; empty for none."""
 
     first: int
     last: int
@@ -29,30 +29,32 @@
     """First key of each range, in order, beginning with 0."""
 
     owners: tuple[str, ...]
-    """Owner of each range; empty while the range is on the move."""
+    """Owner of each range; empty while no target may serve it."""
 
-    def changes_since(self, before: KeyMap) -> list[OwnerChange]:
-        """Return the ranges whose owner differs from an earlier map."""
+    def changes_since(self, previous: KeyMap) -> list[OwnerChange]:
+        """Return the ranges whose owner differs from that in an earlier map."""
         changes: list[OwnerChange] = []
-        bounds = sorted({*self.firsts, *before.firsts})
-        for first, end in zip(bounds, [*bounds[1:], KEYS], strict=True):
+        bounds = sorted({*self.firsts, *previous.firsts})
+        for first, end in zip(bounds, [*bounds[1:], KEY_COUNT], strict=True):
             owner = self.owner_of(first)
-            if owner != before.owner_of(first):
+            if owner != previous.owner_of(first):
                 changes.append(OwnerChange(first=first, last=end - 1, owner=owner))
         return changes
 
     def with_changes(self, changes: Iterable[OwnerChange]) -> KeyMap:
-        """Return the next map, in which some ranges have other owners."""
+        """Return the next map, with new owners for some ranges."""
         firsts = list(self.firsts)
         owners = list(self.owners)
         for change in changes:
-            after = change.last + 1
+            next_key = change.last + 1
             low = bisect_left(firsts, change.first)
-            high = bisect_left(firsts, after)
+            high = bisect_left(firsts, next_key)
             new_firsts = [change.first]
             new_owners = [change.owner]
-            if after < KEYS and (high == len(firsts) or firsts[high] != after):
-                new_firsts.append(after)
+            if next_key < KEY_COUNT and (
+                high == len(firsts) or firsts[high] != next_key
+            ):
+                new_firsts.append(next_key)
                 new_owners.append(owners[high - 1])
             firsts[low:high] = new_firsts
             owners[low:high] = new_owners
@@ -65,11 +67,11 @@
         )
 
     def owner_of(self, key: int) -> str:
-        """Return the target that serves a key, empty when none does now."""
+        """Return the target that serves a key; empty if none does."""
         return self.owners[bisect_right(self.firsts, key) - 1]
 
     def range_of(self, key: int) -> tuple[int, str]:
-        """Return the first key of a key's range, and its owner."""
+        """Return the first key and the owner of the range that contains a key."""
         index = bisect_right(self.firsts, key) - 1
         return self.firsts[index], self.owners[index]
 
--- a/swiftpin/keyranges/key_map_publisher.py
+++ b/swiftpin/keyranges/key_map_publisher.py
@@ -1,4 +1,4 @@
-"""Telling the instances which target serves which key."""
+"""Publication of a service's key map to the instances."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from swiftpin.keyranges.fences import Fences
 from swiftpin.keyranges.key_map import KeyMap
 
-PUBLISH_PAUSE: Final = 0.02
-"""Seconds for which changes of the map are collected: moves end in bursts, and each
-change goes to every instance."""
+PUBLISH_DELAY: Final = 0.02
+"""Seconds for which changes of the map are collected. Moves finish in bursts, and each
+published change is sent to every instance."""
 
-FEW_MEMBERS: Final = 12
-"""Instances above which changes are collected for longer, in proportion: 72 instances
-that took 50 changes a second spent most of their processor time on them."""
+SMALL_FLEET_SIZE: Final = 12
+"""Number of instances above which the delay grows in proportion to the fleet: 72
+instances that received 50 changes per second spent most of their CPU time on them."""
 
 
 class KeyMapPublisher:
-    """Hands out a map whenever the one that stands differs from the last one."""
+    """Publishes the key map whenever it differs from the last published one."""
 
     def __init__(
         self,
@@ -44,44 +44,44 @@
 
     @callback
     def publish(self) -> None:
-        """Hand out the present map soon, together with what changes until then."""
+        """Schedule publication of the map, including changes made until then."""
         if self._timer is None:
             loop = asyncio.get_running_loop()
-            pause = PUBLISH_PAUSE * max(1.0, self._count_members() / FEW_MEMBERS)
-            self._timer = loop.call_later(pause, self._publish_now)
+            delay = PUBLISH_DELAY * max(1.0, self._count_members() / SMALL_FLEET_SIZE)
+            self._timer = loop.call_later(delay, self._publish_now)
 
     @callback
     def unload(self) -> None:
-        """Hand out nothing more."""
+        """Cancel the scheduled publication."""
         if self._timer is not None:
             self._timer.cancel()
 
     @callback
     def _publish_now(self) -> None:
-        """Hand out the present map if it differs from the last one."""
+        """Publish the current map if it differs from the last published one."""
         self._timer = None
-        drawn = self._draw()
-        if drawn == self._published:
+        ranges = self._build_ranges()
+        if ranges == self._published:
             return
-        self._published = drawn
+        self._published = ranges
         self._on_map(
             KeyMap(
                 service=self._service,
                 term=self._term,
-                number=self._fences.take_map_number(),
-                firsts=drawn[0],
-                owners=drawn[1],
+                number=self._fences.allocate_map_number(),
+                firsts=ranges[0],
+                owners=ranges[1],
             )
         )
 
     @callback
-    def _draw(self) -> tuple[tuple[int, ...], tuple[str, ...]]:
-        """Return the first keys of the ranges and the targets that serve them."""
+    def _build_ranges(self) -> tuple[tuple[int, ...], tuple[str, ...]]:
+        """Return the first key of each range, and the owners of the ranges."""
         firsts: list[int] = []
         owners: list[str] = []
         granted_fences = self._state.granted_fences
-        for segment in self._state.present.segments:
-            is_served = not segment.former and segment.fence in granted_fences
+        for segment in self._state.current.segments:
+            is_served = not segment.former_owner and segment.fence in granted_fences
             owner = segment.owner if is_served else ""
             if owners and owners[-1] == owner:
                 continue
--- a/swiftpin/keyranges/lease_store.py
+++ b/swiftpin/keyranges/lease_store.py
@@ -1,4 +1,4 @@
-"""The record of the lease in the store."""
+"""Reading and writing of the lease's record in the store."""
 
 from __future__ import annotations
 
@@ -23,49 +23,51 @@
 from swiftpin.store_errors import ObjectMissingError
 
 
-class LeaseWrite(Enum):
-    """What became of a write."""
+class LeaseWriteOutcome(Enum):
+    """The outcome of a write."""
 
-    STANDS = auto()
+    WRITTEN = auto()
     UNKNOWN = auto()
-    """It may stand, now or later, or not."""
+    """The write may have been applied, may be applied later, or not at all."""
 
-    TAKEN = auto()
-    """Another holder's record stands."""
+    HELD_BY_OTHER = auto()
+    """The store has the record of another holder."""
 
 
 class LeaseStore:
-    """Reads the record, and replaces it if it is still the one last seen."""
+    """Reads the record, and replaces it if it still has the last known revision."""
 
     def __init__(
         self,
         client: StoreClient,
         health: StoreHealth,
-        on_seen: Callable[[LeaseRecord], None],
+        on_record: Callable[[LeaseRecord], None],
     ) -> None:
         self.record: LeaseRecord | None = None
-        """The record last seen, of whichever holder."""
+        """The last known record, of any holder."""
 
         self.unchanged_since = 0.0
-        """Since when the record has been the same, as far as is known here."""
+        """Time since which the record is known to be unchanged."""
 
         self.attempted_members: tuple[str, ...] = ()
-        """Members that the last write named, whether or not it stands."""
+        """Members in the last attempted write, whether or not it was applied."""
 
         self._client = client
         self._health = health
-        self._on_seen = on_seen
+        self._on_record = on_record
         self._revision: int | None = None
-        self._missing_in_era: int | None = None
-        """Era in which there was no record last."""
+        self._era_without_record: int | None = None
+        """Last era in which no record was found."""
 
         self._attempt = (0, 0)
+        """Term and renewal of the last attempted write."""
+
         self._attempted_at = 0.0
-        """Term and renewal last attempted, and since when that may stand."""
+        """Time since which that write may have been applied."""
 
     @property
     def era(self) -> int:
-        """Return the newest era of the store that an answer told."""
+        """Return the newest store era reported in an answer."""
         return self._client.era.newest
 
     @property
@@ -75,7 +77,7 @@
 
     async def async_read(self) -> None:
         """Read the lease and note whether it changed; raise `StoreError`."""
-        asked_at = suspend_aware_now()
+        requested_at = suspend_aware_now()
         try:
             found = await self._client.async_get(
                 KIND_LEASE, NAME_LEASE, limit=LEASE_CALL_TIMEOUT
@@ -83,8 +85,8 @@
         except ObjectMissingError:
             now = suspend_aware_now()
             self._health.note_answer(now)
-            if self._missing_in_era != self.era:
-                self._missing_in_era = self.era
+            if self._era_without_record != self.era:
+                self._era_without_record = self.era
                 self.unchanged_since = now
             self.record = None
             self._revision = None
@@ -98,13 +100,13 @@
         if found.revision != self._revision:
             self._revision = found.revision
             self.unchanged_since = now
-            self._see(record)
+            self._note_record(record)
         else:
-            # No try was carried out until then.
-            self._attempted_at = max(self._attempted_at, asked_at)
+            # No attempt had been applied by then.
+            self._attempted_at = max(self._attempted_at, requested_at)
 
-    async def async_write(self, record: LeaseRecord) -> LeaseWrite:
-        """Write a record of this instance's own."""
+    async def async_write(self, record: LeaseRecord) -> LeaseWriteOutcome:
+        """Write a record that names this instance as the holder."""
         sent_at = suspend_aware_now()
         if self._attempt != (record.term, record.renewal):
             self._attempt = (record.term, record.renewal)
@@ -113,19 +115,19 @@
         try:
             revision = await self._async_put(record)
         except StoreConflictError as err:
-            return await self._async_settle(record, str(err))
+            return await self._async_read_back(record, str(err))
         except StoreOutcomeUnknownError as err:
             self._health.note_failure(str(err), suspend_aware_now())
-            return await self._async_settle(record, str(err))
+            return await self._async_read_back(record, str(err))
         except StoreError as err:
             self._health.note_failure(str(err), suspend_aware_now())
-            return LeaseWrite.UNKNOWN
+            return LeaseWriteOutcome.UNKNOWN
         self._revision = revision
-        self._note_stands(record, sent_at)
-        return LeaseWrite.STANDS
+        self._note_written(record, sent_at)
+        return LeaseWriteOutcome.WRITTEN
 
-    async def async_write_last(self, record: LeaseRecord) -> None:
-        """Write a record after which this instance writes none; raise `StoreError`."""
+    async def async_write_final(self, record: LeaseRecord) -> None:
+        """Write this instance's final record; raise `StoreError` if that fails."""
         await self._client.async_replace(
             KIND_LEASE, NAME_LEASE, encode_lease(record), self._revision
         )
@@ -141,38 +143,42 @@
             KIND_LEASE, NAME_LEASE, content, self._revision, limit=LEASE_CALL_TIMEOUT
         )
 
-    async def _async_settle(self, record: LeaseRecord, reason: str) -> LeaseWrite:
-        """Read back whether a write stands whose answer was lost or a conflict.
+    async def _async_read_back(
+        self, record: LeaseRecord, reason: str
+    ) -> LeaseWriteOutcome:
+        """Read the record back after a lost answer or a conflict.
 
-        A write whose answer was lost may meet its own effect as a conflict at the
-        next try; only the record itself tells. It may be the effect of the first of
-        equal tries: candidates may have counted from then, and so does the lease.
+        If the answer to a write was lost, the next attempt may conflict with its
+        effect; only the record itself shows which. The record may result from the
+        first of several equal attempts, and candidates may measure the lease's age from
+        then. So the lease counts from the first attempt too.
         """
         log_message(message_type="lease_unsettled", reason=reason, term=record.term)
         try:
             await self.async_read()
         except StoreError as err:
             self._health.note_failure(str(err), suspend_aware_now())
-            return LeaseWrite.UNKNOWN
+            return LeaseWriteOutcome.UNKNOWN
         found = self.record
-        is_older_copy = self.was_restored if found is None else found.era < self.era
-        if is_older_copy:
-            # It may lack this instance's own record. Nobody else can take the lease
-            # while it runs: all wait out whoever the copy hides.
-            return LeaseWrite.UNKNOWN
+        is_restored_copy = self.was_restored if found is None else found.era < self.era
+        if is_restored_copy:
+            # The restored store may have lost this instance's record. No other instance
+            # takes the lease while it is valid: after a restore, all wait until every
+            # lease that the store may have lost has expired.
+            return LeaseWriteOutcome.UNKNOWN
         if found is None or found.holder != record.holder or found.term > record.term:
-            return LeaseWrite.TAKEN
+            return LeaseWriteOutcome.HELD_BY_OTHER
         if (found.term, found.renewal) != (record.term, record.renewal):
-            return LeaseWrite.UNKNOWN
-        self._note_stands(record, self._attempted_at)
-        return LeaseWrite.STANDS
+            return LeaseWriteOutcome.UNKNOWN
+        self._note_written(record, self._attempted_at)
+        return LeaseWriteOutcome.WRITTEN
 
     @callback
-    def _see(self, record: LeaseRecord) -> None:
-        """Take a record that was read or written."""
-        before = self.record
+    def _note_record(self, record: LeaseRecord) -> None:
+        """Update the last known record after a read or a write."""
+        previous = self.record
         self.record = record
-        if before is None or (before.holder, before.term) != (
+        if previous is None or (previous.holder, previous.term) != (
             record.holder,
             record.term,
         ):
@@ -182,11 +188,11 @@
                 term=record.term,
                 revision=self._revision,
             )
-        self._on_seen(record)
+        self._on_record(record)
 
     @callback
-    def _note_stands(self, record: LeaseRecord, sent_at: float) -> None:
-        """Note that a record of this instance's own was written."""
+    def _note_written(self, record: LeaseRecord, sent_at: float) -> None:
+        """Note that a record of this instance was written."""
         self._health.note_answer(suspend_aware_now())
-        self._see(record)
+        self._note_record(record)
         self.unchanged_since = sent_at
--- a/swiftpin/keyranges/range_assigner.py
+++ b/swiftpin/keyranges/range_assigner.py
@@ -1,4 +1,4 @@
-"""Keeping of one service's keys by the instance that holds the lease."""
+"""Assignment of one service's keys by the instance that holds the lease."""
 
 from __future__ import annotations
 
@@ -37,21 +37,23 @@
 from swiftpin.platform.store_client import StoreClient
 from swiftpin.platform.target_control import TargetControl
 
-MOST_JOINED: Final = 24
-LEAST_JOINED: Final = 6
-"""Neighbouring segments that are joined at a time, and for which alone the record is
-written: each segment is a grant to renew, each write of the record is paid for."""
+MAX_MERGED_SEGMENTS: Final = 24
+MIN_MERGED_SEGMENTS: Final = 6
+"""Maximum number of merged segments per plan, and minimum number for which the record
+is written if there are no moves. Each segment is a grant to renew, and each write of
+the record has a cost."""
 
-COLD_SHARE: Final = 0.5
-"""Part of its capacity that a target has in the seconds after its start."""
+COLD_CAPACITY_SHARE: Final = 0.5
+"""Share of its capacity that a target has in the seconds after its start."""
 
 
 class RangeAssigner:
-    """Grants a service's keys, renews the grants and moves keys where load is.
+    """Grants a service's keys, renews the grants and moves keys to balance the load.
 
-    A move is recorded first, then the former owner's answer to a release is awaited, or
-    the end of what it was granted, and only then is the new owner granted. So no
-    successor can miss a target that may hold keys, and no two targets hold the same.
+    A move is recorded first. Then the assigner waits until the former owner has
+    answered a release or its grants have expired, and only then grants the keys to the
+    new owner. So a successor knows of every target that may hold keys, and no two
+    targets hold the same keys.
     """
 
     def __init__(
@@ -64,17 +66,17 @@
         lease: LeaseElection,
         fences: Fences,
         health: StoreHealth,
-        longest_hold: float,
+        max_hold: float,
         health_path: str,
         on_map: Callable[[KeyMap], None],
         count_members: Callable[[], int],
-        longest_request: Callable[[], float],
-        declared: Callable[[], ServiceSpec],
+        max_request_time: Callable[[], float],
+        get_service_spec: Callable[[], ServiceSpec],
     ) -> None:
         self.load = KeyLoad()
         self.speed = TargetSpeed()
         self._service = service
-        self._declared = declared
+        self._get_service_spec = get_service_spec
         self._directory = directory
         self._lease = lease
         self._health = health
@@ -82,7 +84,7 @@
         fences.begin_term(lease.term)
         self._took_over_at = suspend_aware_now()
         self._state = AssignmentState()
-        self._hold_limit = HoldLimit(longest_hold)
+        self._hold_limit = HoldLimit(max_hold)
         self._record = AssignmentRecord(service, client, health)
         self._sessions = TargetSessions(directory)
         self._granter = Granter(
@@ -90,7 +92,7 @@
             sessions=self._sessions,
             directory=directory,
             health_path=health_path,
-            usual_hold=self._usual_hold,
+            regular_hold=self._regular_hold,
             fences=fences,
             term=lease.term,
         )
@@ -126,13 +128,13 @@
                 granter=self._granter,
                 sessions=self._sessions,
                 directory=directory,
-                longest_request=longest_request,
+                max_request_time=max_request_time,
             ),
             publisher=self._publisher,
         )
 
     async def async_run(self) -> None:
-        """Keep the keys until cancelled."""
+        """Assign the keys until cancelled."""
         try:
             await self._async_load()
             async with asyncio.TaskGroup() as group:
@@ -143,51 +145,52 @@
             self._publisher.unload()
 
     async def _async_load(self) -> None:
-        """Begin where the former assigner ended, or with a first division."""
+        """Load the previous assigner's assignment, or create the first one."""
         assignment = await self._loader.async_load(self._took_over_at)
         self._state.assignment = assignment
         for segment in assignment.segments:
-            if segment.former:
-                # The former assigner may have sent a release for it, which arrived
-                # when the kernel gave up on it at the latest.
+            if segment.former_owner:
+                # The previous assigner may have sent a release for this move. It can't
+                # arrive later than the time at which the kernel stops delivering it.
                 self._moves.start(segment, self._took_over_at + CONTROL_TIMEOUT)
-            elif not self._loader.is_first_division:
+            elif not self._loader.is_new_assignment:
                 self._state.granted_fences.add(segment.fence)
         self._publisher.publish()
 
     @callback
-    def _usual_hold(self) -> float:
-        """Return the seconds for which grants are given at rest."""
-        present = self._state.present
-        return self._hold_limit.hold(
-            len(present.segments), present.longest_hold, suspend_aware_now()
+    def _regular_hold(self) -> float:
+        """Return the duration of a grant to a target that answers, in seconds."""
+        present = self._state.current
+        return self._hold_limit.next_hold(
+            len(present.segments), present.max_hold, suspend_aware_now()
         )
 
     # Planning.
 
     async def _async_plan(self) -> None:
-        """Look at the load again and again, and move keys."""
+        """Plan moves periodically."""
         while True:
             await asyncio.sleep(PLAN_INTERVAL)
             now = suspend_aware_now()
             self.load.decay(now)
             self._directory.sweep(now)
-            self._forget_gone(now)
+            self._prune_state(now)
             if not self._lease.is_held(now) or self._health.is_lost:
                 continue
-            if self._may_lack_targets(now):
+            if self._may_miss_live_owners(now):
                 continue
             await self._async_plan_once(now)
 
     @callback
-    def _may_lack_targets(self, now: float) -> bool:
-        """Return whether an owner may be alive though its entry is missing.
+    def _may_miss_live_owners(self, now: float) -> bool:
+        """Return whether an owner may be alive although its entry is missing.
 
-        The first list after a start may have been read right after an outage of the
-        store. Its missing targets would count as gone and their keys be moved, with no
-        address to release them at: most keys were without an owner for 5 s. To wait
-        with the lease itself until the list is sure would leave all keys without
-        renewals for 2.3 s after a restart of all instances.
+        The first list of targets after a start may have been read right after a store
+        outage. Targets missing from it would be considered gone and their keys moved,
+        with no address to send the releases to; this left most keys without an owner
+        for 5 s. Waiting for a reliable list before acquiring the lease is no
+        alternative: after a restart of all instances, no grant would be renewed for
+        2.3 s.
         """
         if self._directory.knows_targets(now):
             return False
@@ -196,74 +199,78 @@
         )
 
     @callback
-    def _forget_gone(self, now: float) -> None:
-        """Drop what is known of lives that are gone: each start brings a new one."""
+    def _prune_state(self, now: float) -> None:
+        """Remove the state of target lives that are gone; each start adds a new one."""
         involved = self._state.involved_targets()
-        self._sessions.forget(involved, now)
-        self._state.forget_fences()
-        self._granter.forget_handovers(self._state.present)
-        self.speed.keep(involved | self._directory.targets_by_id.keys())
+        self._sessions.prune(involved, now)
+        self._state.prune_granted_fences()
+        self._granter.prune_handovers(self._state.current)
+        self.speed.retain_targets(involved | self._directory.targets_by_id.keys())
 
     async def _async_plan_once(self, now: float) -> None:
         """Plan, record and start moves."""
-        before = self._state.present
+        current = self._state.current
         capacities = self._capacities(now)
         bounds = {
             target: self._capacity_bounds(target, capacity)
             for target, capacity in capacities.items()
         }
         moves = plan_moves(
-            before,
+            current,
             capacities,
             self.load.rates_by_key,
             bounds,
-            limited=self._limited_targets(now) & capacities.keys(),
+            limited_targets=self._limited_targets(now) & capacities.keys(),
         )
-        joined, joined_fences = before.with_joined(self._fences.next, MOST_JOINED)
-        if not moves and len(joined_fences) < LEAST_JOINED:
+        merged, merged_fences = current.with_merged_neighbours(
+            self._fences.next_fence, MAX_MERGED_SEGMENTS
+        )
+        if not moves and len(merged_fences) < MIN_MERGED_SEGMENTS:
             return
-        self._fences.take(len(joined_fences))
-        first_fence = self._fences.take(len(moves))
-        planned = joined.with_moves(moves, first_fence)
-        limit = self._hold_limit.for_record(
-            len(before.segments), len(planned.segments), now
+        self._fences.allocate(len(merged_fences))
+        first_fence = self._fences.allocate(len(moves))
+        planned = merged.with_moves(moves, first_fence)
+        limit = self._hold_limit.limit_for_record(
+            len(current.segments), len(planned.segments), now
         )
-        planned = replace(planned, longest_hold=limit)
+        planned = replace(planned, max_hold=limit)
         if not await self._record.async_replace(planned):
             return
-        # The owner holds all keys of a joined segment under their earlier fences.
-        self._state.granted_fences.update(joined_fences)
-        # Moves that ended while the record was written are not lost by this.
-        self._state.assignment = planned.without_finished(self._state.present)
+        # The owner already holds all keys of a merged segment, under earlier fences.
+        self._state.granted_fences.update(merged_fences)
+        # Keep the completion of moves that finished while the record was written.
+        self._state.assignment = planned.without_finished_moves(self._state.current)
         self._log_moves(moves, first_fence)
-        for segment in self._state.present.segments:
-            if segment.former and segment.fence >= first_fence:
+        for segment in self._state.current.segments:
+            if segment.former_owner and segment.fence >= first_fence:
                 self._moves.start(segment)
         self._publisher.publish()
 
     @callback
     def _capacities(self, now: float) -> dict[str, float]:
-        """Return the requests a second that each eligible target can bear."""
+        """Return the capacity of each eligible target in requests per second."""
         capacities = {}
         for target in self._directory.serving_targets(self._service, now):
             if self._sessions.is_lost(target.id, now):
                 continue
             capacity = self.speed.capacity(target.id, target.slots)
             if self._is_cold(target, now):
-                capacity = min(capacity * COLD_SHARE, self._declared().cold_rate)
+                capacity = min(
+                    capacity * COLD_CAPACITY_SHARE, self._get_service_spec().cold_rate
+                )
             capacities[target.id] = capacity
         return capacities
 
     @callback
     def _is_cold(self, target: Target, now: float) -> bool:
-        """Return whether a target bears less than usual."""
-        cold_start = self._declared().cold_start
+        """Return whether a target has reduced capacity after its start."""
+        cold_start = self._get_service_spec().cold_start
         return self._directory.cold_left(target, cold_start, now) > 0
 
     @callback
     def _limited_targets(self, now: float) -> set[str]:
-        """Return the targets that bear only the rate of cold ones."""
-        if math.isinf(self._declared().cold_rate):
+        """Return the targets that are limited to the rate of cold targets."""
+        if math.isinf(self._get_service_spec().cold_rate):
             return set()
         return {
             target.id
@@ -273,15 +280,15 @@
 
     @callback
     def _capacity_bounds(self, target_id: str, capacity: float) -> CapacityBounds:
-        """Return between what the capacity of an eligible target certainly lies."""
+        """Return lower and upper bounds of an eligible target's capacity."""
         slots = self._directory.targets_by_id[target_id].slots
         bounds = self.speed.capacity_bounds(target_id, slots)
-        # A target that has just started bears less than it ever showed.
+        # A target that has just started may have less capacity than ever measured.
         return replace(bounds, low=min(bounds.low, capacity))
 
     @callback
     def _log_moves(self, moves: list[Move], first_fence: int) -> None:
-        """Write a line for each planned move."""
+        """Log each planned move."""
         for number, move in enumerate(moves):
             log_message(
                 message_type="move_planned",
--- a/swiftpin/router/configuration_holder.py
+++ b/swiftpin/router/configuration_holder.py
@@ -67,7 +67,7 @@
     @callback
     def note_announced_version(self, version: int, now: float) -> None:
         """Record that another instance announced its active version."""
-        self.lag.note_told(version, self.version, now)
+        self.lag.record_announced(version, self.version, now)
 
     @callback
     def adopt_list(
@@ -173,7 +173,7 @@
         self.current = configuration
         self.adopted_at = now
         self.packed = source.packed
-        self.lag.note_adopted(configuration.version)
+        self.lag.record_adopted(configuration.version)
         self.on_change()
 
 
--- a/swiftpin/router/extension_votes.py
+++ b/swiftpin/router/extension_votes.py
@@ -12,7 +12,7 @@
 from swiftpin.fleet.item import Item
 from swiftpin.fleet.link import PeerLink
 from swiftpin.fleet.links import FleetLinks
-from swiftpin.keyranges.const import VOTE_TIME
+from swiftpin.keyranges.const import VOTE_DURATION
 from swiftpin.keyranges.lease_election import LeaseElection
 
 
@@ -50,7 +50,7 @@
             return False
         is_cast = self._should_vote(link, heartbeat, now)
         if is_cast:
-            self._lease.own_vote_until = now + VOTE_TIME
+            self._lease.own_vote_until = now + VOTE_DURATION
         self._log_vote(link.incarnation if is_cast else "")
         return is_cast
 
@@ -85,7 +85,7 @@
         The validity of the vote counts from the request, which is earlier than the
         vote, so it is never overestimated.
         """
-        link.vote_expires_at = max(link.vote_expires_at, requested_at + VOTE_TIME)
+        link.vote_expires_at = max(link.vote_expires_at, requested_at + VOTE_DURATION)
         self._lease.extended_until = self._extended_until()
 
     @callback
--- a/swiftpin/router/gossip.py
+++ b/swiftpin/router/gossip.py
@@ -23,7 +23,7 @@
 from swiftpin.platform.target_entries import decode_target_list, encode_target_list
 from swiftpin.platform.unusable_entry import UnusableEntryError
 from swiftpin.router.configuration_holder import ConfigurationHolder
-from swiftpin.router.document_requester import DocumentRequester
+from swiftpin.router.document_ask import DocumentRequester
 from swiftpin.router.holder_view import HolderView
 from swiftpin.router.key_maps import KeyMaps
 from swiftpin.router.watch_duty import WatchDuty, choose_configuration_watchers
--- a/swiftpin/router/leader.py
+++ b/swiftpin/router/leader.py
@@ -60,7 +60,7 @@
         The targets need not be known yet: their grants could expire before they are.
         """
         if self._configuration.current is not None:
-            self._lease.note_willing()
+            self._lease.note_eligible()
 
     @callback
     def handle_load_report(self, report: Item) -> None:
@@ -76,7 +76,7 @@
             for seconds in times.seconds:
                 assigner.speed.add(times.target, seconds, failed=False)
             for seconds in times.cut_seconds:
-                assigner.speed.add_cut(times.target, seconds)
+                assigner.speed.add_abandoned(times.target, seconds)
             for _ in range(times.failures):
                 assigner.speed.add(times.target, 0.0, failed=True)
 
@@ -107,7 +107,7 @@
                 assigner.async_run()
             )
         self._lease.wants_next_term = any(
-            fences.is_nearly_spent for fences in self._fences_by_service.values()
+            fences.is_nearly_exhausted for fences in self._fences_by_service.values()
         )
 
     @callback
--- a/tests/keyranges/test_plan_hot_keys.py
+++ b/tests/keyranges/test_plan_hot_keys.py
@@ -12,9 +12,9 @@
 
 import pytest
 
-from swiftpin.keyranges.assignment import Assignment, divide_evenly
+from swiftpin.keyranges.assignment import Assignment, divide_by_weight
 from swiftpin.keyranges.move import Move
-from swiftpin.keyranges.plan_hot_keys import FASTER
+from swiftpin.keyranges.plan_hot_keys import MIN_CAPACITY_RATIO
 from swiftpin.keyranges.planner import plan_moves
 from swiftpin.keyranges.target_speed import CapacityBounds, TargetSpeed
 
@@ -25,7 +25,7 @@
 @pytest.fixture(name="even")
 def even_fixture() -> Assignment:
     """Return an even assignment to four targets; the first keys are a's."""
-    return divide_evenly(dict.fromkeys(CAPACITIES, 1.0), fence=1)
+    return divide_by_weight(dict.fromkeys(CAPACITIES, 1.0), fence=1)
 
 
 def move_of(key: int, moves: list[Move]) -> Move | None:
@@ -96,5 +96,5 @@
             speed.add(target, rng.lognormvariate(-3.0, 0.5), failed=False)
         bounds = [speed.capacity_bounds(target, 4) for target in targets]
         most = max(bound.low for bound in bounds)
-        apart += any(most > FASTER * bound.high for bound in bounds)
+        apart += any(most > MIN_CAPACITY_RATIO * bound.high for bound in bounds)
     assert apart < 40
--- a/tests/router/test_document_requester.py
+++ b/tests/router/test_document_ask.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from swiftpin.router.document_requester import (
+from swiftpin.router.document_ask import (
     ANSWER_TIMEOUT,
     MIN_REQUEST_INTERVAL,
     DocumentRequester,
--- a/tests/router/test_gossip.py
+++ b/tests/router/test_gossip.py
@@ -14,7 +14,7 @@
 from swiftpin.fleet.proto import fleet_pb2 as pb
 from swiftpin.router.configuration_holder import ConfigurationHolder
 from swiftpin.router.configuration_lag import ConfigurationLag
-from swiftpin.router.document_requester import ANSWER_TIMEOUT
+from swiftpin.router.document_ask import ANSWER_TIMEOUT
 from swiftpin.router.gossip import Gossip
 from swiftpin.router.holder_view import HOLDER_CATCH_UP_TIME
 from tests.router.fleet_fakes import FakeLink
--- a/tests/router/test_large_configurations.py
+++ b/tests/router/test_large_configurations.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.fleet.virtual_time import run_in_virtual_time
-from tests.router.slow_links import Outcome, async_spread, large_configuration
+from tests.router.slow_links import Outcome, async_distribute, large_configuration
 
 ROUTES: Final = 2_000
 VERSIONS: Final = 5
@@ -24,7 +24,7 @@
     """Return the outcome of large configurations published in quick succession."""
     documents = [large_configuration(1 + v, ROUTES) for v in range(count)]
     return run_in_virtual_time(
-        async_spread(
+        async_distribute(
             documents,
             members=24,
             watchers=4,
@@ -44,8 +44,8 @@
 
 def test_large_configuration_becomes_active_in_time(spread: Outcome) -> None:
     """Guards against instances that fall further behind with each version."""
-    waits = [spread.longest_wait(version) for version in range(1, VERSIONS + 1)]
-    assert max(waits) < APPLY_LIMIT
+    delays = [spread.max_delay(version) for version in range(1, VERSIONS + 1)]
+    assert max(delays) < APPLY_LIMIT
 
 
 def test_heartbeats_do_not_wait_behind_documents(spread: Outcome) -> None:
--- a/tests/router/test_planned_stop.py
+++ b/tests/router/test_planned_stop.py
@@ -32,8 +32,8 @@
         )
         handler = SimpleNamespace(
             in_flight=in_flight,
-            refuse_new=lambda: self._record("refuse new"),
-            refuse_waiting=lambda: self._record("refuse waiting"),
+            refuse_new_requests=lambda: self._record("refuse new"),
+            refuse_waiting_requests=lambda: self._record("refuse waiting"),
         )
         callers = SimpleNamespace(stop_listening=lambda: self._record("stop listening"))
         self.stop = PlannedStop(
