--- a/swiftpin/keyranges/hold_times.py
+++ b/swiftpin/keyranges/hold_times.py
@@ -1,4 +1,4 @@
-"""How often grants are renewed and how long they last."""
+"""Renewal intervals and durations ("holds") of grants."""
 
 from __future__ import annotations
 
@@ -6,75 +6,82 @@
 
 from swiftpin.core import callback
 from swiftpin.keyranges.const import (
-    CLOCK_DRIFT,
-    GRANT_RENEW,
+    CLOCK_DRIFT_FACTOR,
     HOLD_BEYOND_RENEWAL,
     HOLD_MARGIN,
-    HOLD_TIME,
-    RENEWALS_PER_SECOND,
+    MAX_RENEWALS_PER_SECOND,
+    MIN_REGULAR_HOLD,
+    MIN_RENEW_INTERVAL,
 )
 
-MOST_RENEW_PAUSE: Final = 2.5
-"""Seconds between two renewals at most."""
+MAX_RENEW_INTERVAL: Final = 2.5
+"""Maximum seconds between two renewals of a grant."""
 
-LONGEST_HOLD: Final = MOST_RENEW_PAUSE + HOLD_BEYOND_RENEWAL
-"""Seconds of a grant where there are most segments."""
+MAX_REGULAR_HOLD: Final = MAX_RENEW_INTERVAL + HOLD_BEYOND_RENEWAL
+"""Duration of a grant in the services with the most segments, in seconds."""
 
 
-def renew_pause(segments: int) -> float:
+def renew_interval(segment_count: int) -> float:
     """Return the seconds between two renewals of a grant."""
-    busy = segments / RENEWALS_PER_SECOND
-    return max(GRANT_RENEW, min(busy, MOST_RENEW_PAUSE))
+    interval = segment_count / MAX_RENEWALS_PER_SECOND
+    return max(MIN_RENEW_INTERVAL, min(interval, MAX_RENEW_INTERVAL))
 
 
-def usual_hold(segments: int) -> float:
-    """Return the seconds for which grants are given at rest."""
-    return renew_pause(segments) + HOLD_BEYOND_RENEWAL
+def regular_hold(segment_count: int) -> float:
+    """Return the duration of a grant to a target that answers, in seconds."""
+    return renew_interval(segment_count) + HOLD_BEYOND_RENEWAL
 
 
 class HoldLimit:
-    """The seconds that the record names as the longest grant that may still run.
-
-    A successor waits for as long before it takes a target's grants for ended. It can't
-    guess that from the number of segments: those that were joined moments ago had
-    longer grants, and a former assigner may have had other settings. Then a target
-    still held keys that the successor granted to another. So the limit is written
-    before longer grants are given, and lowered only once they have all ended.
+    """Tracks the recorded limit on the duration of grants that may still be valid.
+
+    A new assigner waits for this time before it considers a target's grants expired. It
+    can't derive the limit from the number of segments: segments that were merged
+    moments ago had longer grants, and the previous assigner may have had other
+    settings. With too short a limit, a target could still hold keys that the new
+    assigner grants to another one. So the limit is recorded before longer grants are
+    sent, and lowered only once all of them have expired.
     """
 
-    def __init__(self, longest: float) -> None:
-        self._longest = longest
-        self._long_until = 0.0
+    def __init__(self, max_hold: float) -> None:
+        self._max_hold = max_hold
+        self._long_grants_until = 0.0
 
     @callback
     def note_recorded(self, recorded: float | None, now: float) -> float:
-        """Take what a former assigner's record names; return its longest grant.
+        """Note the limit in a previous assigner's record; return the effective limit.
 
-        A record that names nothing is another version's; it may have given the longest
-        grants that targets take.
+        A record without a limit was written by another version, which may have sent
+        the longest grants that targets accept.
         """
-        limit = self._longest if recorded is None else recorded
-        self._note_given(limit, now)
+        limit = self._max_hold if recorded is None else recorded
+        self._note_granted(limit, now)
         return limit
 
     @callback
-    def for_record(self, segments_before: int, segments: int, now: float) -> float:
+    def limit_for_record(
+        self, previous_segment_count: int, segment_count: int, now: float
+    ) -> float:
         """Return the limit for a record that is about to be written."""
-        wanted = usual_hold(max(segments_before, segments))
-        may_be_long = wanted > HOLD_TIME or now < self._long_until
-        return min(LONGEST_HOLD if may_be_long else HOLD_TIME, self._longest)
+        wanted = regular_hold(max(previous_segment_count, segment_count))
+        may_be_long = wanted > MIN_REGULAR_HOLD or now < self._long_grants_until
+        return min(
+            MAX_REGULAR_HOLD if may_be_long else MIN_REGULAR_HOLD, self._max_hold
+        )
 
     @callback
-    def hold(self, segments: int, recorded: float | None, now: float) -> float:
-        """Return the seconds for which to grant now."""
-        limit = self._longest if recorded is None else recorded
-        hold = min(usual_hold(segments), limit, self._longest)
-        self._note_given(hold, now)
+    def next_hold(
+        self, segment_count: int, recorded: float | None, now: float
+    ) -> float:
+        """Return the duration of a grant that is sent now, in seconds."""
+        limit = self._max_hold if recorded is None else recorded
+        hold = min(regular_hold(segment_count), limit, self._max_hold)
+        self._note_granted(hold, now)
         return hold
 
     @callback
-    def _note_given(self, hold: float, now: float) -> None:
-        """Note that grants of some length were given up to now."""
-        if hold > HOLD_TIME:
-            ends_at = now + hold * CLOCK_DRIFT + HOLD_MARGIN
-            self._long_until = max(self._long_until, ends_at)
+    def _note_granted(self, hold: float, now: float) -> None:
+        """Note that grants of this duration may have been sent until now."""
+        if hold > MIN_REGULAR_HOLD:
+            ends_at = now + hold * CLOCK_DRIFT_FACTOR + HOLD_MARGIN
+            self._long_grants_until = max(self._long_grants_until, ends_at)
--- a/swiftpin/router/extension_votes.py
+++ b/swiftpin/router/extension_votes.py
@@ -1,4 +1,4 @@
-"""Votes to leave the lease to its holder while the store answers nobody."""
+"""Votes that extend the lease of its holder while the store is unreachable."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from swiftpin.fleet.item import Item
 from swiftpin.fleet.link import PeerLink
 from swiftpin.fleet.links import FleetLinks
-from swiftpin.keyranges.const import VOTE_TIME
+from swiftpin.keyranges.const import VOTE_DURATION
 from swiftpin.keyranges.lease_election import LeaseElection
 
 
 class ExtensionVotes:
-    """Gives votes to the holder of the lease and counts those that it gets.
+    """Casts votes for the lease holder and counts the votes received as holder.
 
-    A member votes only while the store answers neither of the two: when it turns just
-    the holder away, somebody whom it serves had better take over.
+    A member votes only while the store answers neither the holder nor the member. If
+    only the holder has lost the store, an instance that can reach it should take over.
     """
 
     def __init__(
@@ -29,47 +29,47 @@
         self._links = links
         self._lease = lease
         self._health = health
-        self._asked_by = ""
-        """Incarnation of the holder that lost the store."""
+        self._requested_by = ""
+        """Incarnation of the holder that has lost the store and needs votes."""
 
-        self._asked_at = 0.0
+        self._requested_at = 0.0
         self._voted_for = ""
-        """Incarnation of the holder for which this member voted last."""
+        """Incarnation of the holder that this member votes for, empty if none."""
 
         self._probe: asyncio.Task[None] | None = None
 
     @callback
-    def give(self, link: PeerLink, now: float) -> bool:
-        """Return whether to leave the lease to its holder at the other end of a link.
+    def cast_vote(self, link: PeerLink, now: float) -> bool:
+        """Return whether to vote for the peer of a link as the lease holder.
 
-        Only what its holder says counts: heartbeats go to other instances too, and
-        what those say must not make an old loss look like a new one.
+        Only the holder's own heartbeats are considered: links to other instances must
+        not make the loss of the store look new again.
         """
         heartbeat = link.heartbeat
         if heartbeat is None or not heartbeat.leads:
             return False
-        is_given = self._is_due(link, heartbeat, now)
-        if is_given:
-            self._lease.own_vote_until = now + VOTE_TIME
-        self._note(link.incarnation if is_given else "")
-        return is_given
+        is_cast = self._should_vote(link, heartbeat, now)
+        if is_cast:
+            self._lease.own_vote_until = now + VOTE_DURATION
+        self._log_vote(link.incarnation if is_cast else "")
+        return is_cast
 
     @callback
-    def _is_due(self, link: PeerLink, heartbeat: Item, now: float) -> bool:
-        """Return whether to vote for the holder at the other end of a link."""
+    def _should_vote(self, link: PeerLink, heartbeat: Item, now: float) -> bool:
+        """Return whether the store answers neither the holder nor this member."""
         if not heartbeat.store_lost:
-            self._asked_by = ""
+            self._requested_by = ""
             return False
-        if self._asked_by != link.incarnation:
-            self._asked_by = link.incarnation
-            self._asked_at = now
+        if self._requested_by != link.incarnation:
+            self._requested_by = link.incarnation
+            self._requested_at = now
             self._probe = asyncio.create_task(self._lease.async_probe())
         answered_at = self._health.answered_at
-        return answered_at is None or answered_at < self._asked_at
+        return answered_at is None or answered_at < self._requested_at
 
     @callback
-    def _note(self, holder: str) -> None:
-        """Write a line when votes for a holder begin or end; empty for none."""
+    def _log_vote(self, holder: str) -> None:
+        """Log when votes for a holder begin or end; `holder` is empty for no vote."""
         if holder == self._voted_for:
             return
         if self._voted_for:
@@ -79,17 +79,18 @@
         self._voted_for = holder
 
     @callback
-    def take(self, link: PeerLink, echo: float) -> None:
-        """Take a vote; `echo` is this instance's time when it was asked for.
+    def handle_vote(self, link: PeerLink, requested_at: float) -> None:
+        """Record a vote that this instance requested at `requested_at`.
 
-        Counted from before the vote was made, so it never looks longer.
+        The validity of the vote counts from the request, which is earlier than the
+        vote, so it is never overestimated.
         """
-        link.vote_expires_at = max(link.vote_expires_at, echo + VOTE_TIME)
+        link.vote_expires_at = max(link.vote_expires_at, requested_at + VOTE_DURATION)
         self._lease.extended_until = self._extended_until()
 
     @callback
     def _extended_until(self) -> float:
-        """Return until when all members have voted to leave the lease alone."""
+        """Return the time until which the votes of all members extend the lease."""
         until_by_name: dict[str, float] = {}
         for link in self._links.incoming:
             name = link.incarnation.partition("/")[0]
--- a/swiftpin/router/fleet_size.py
+++ b/swiftpin/router/fleet_size.py
@@ -1,4 +1,4 @@
-"""How many instances share what the fleet as a whole may spend."""
+"""Number of instances that share the limits of the whole fleet."""
 
 from __future__ import annotations
 
@@ -7,71 +7,79 @@
 
 from swiftpin.core import callback
 
-MAX_GAP: Final = 3.0
-"""Seconds without the holder of the lease after which an instance counts as cut off;
-longer than a takeover."""
+MAX_HOLDER_SILENCE: Final = 3.0
+"""Seconds without a heartbeat of the lease holder after which an instance counts as
+disconnected; longer than a takeover."""
 
-TELL_TIME: Final = MAX_GAP + 2.0
-"""Seconds after which everyone has been told of an instance that is in touch with the
-holder, or counts as cut off."""
+ANNOUNCEMENT_TIME: Final = MAX_HOLDER_SILENCE + 2.0
+"""Seconds after which every instance either has received the count that includes a new
+instance, or counts as disconnected."""
 
-MEMORY: Final = 60.0
-"""Seconds for which a count is remembered. A new holder hears the members one after the
-other and tells too few of them at first."""
+COUNT_RETENTION: Final = 60.0
+"""Seconds for which a count stays in effect. The members connect to a new holder one
+after the other, so its first counts are too low."""
 
-HEADROOM: Final = 8
-"""Part of the members by which the count that is told may exceed their number, so that
-not every start is told to everyone."""
+HEADROOM_DIVISOR: Final = 8
+"""The announced count may exceed the number of members by one part in this many, so
+that not every start of an instance requires a new announcement."""
 
 
 class FleetSize:
-    """Upper bound of the instances that take a share of a limit of the fleet.
+    """Upper bound for the number of instances that share a limit of the fleet.
 
-    Every instance takes its share by itself. The shares add up to the whole at most
-    if each of those that take one counts all the others that do. So only an instance
-    in touch with the holder of the lease takes one, and by the greatest count that it
-    was told lately. Instances that end have forgotten what they spent: one that has
-    just started takes no share until all that has left the limit's window.
+    Every instance computes its share by itself. The shares add up to at most the limit
+    if each instance that uses one counts all the others that do. Therefore only an
+    instance connected to the lease holder uses a share, computed from the highest count
+    announced recently. A restarted instance does not know what it used before, so it
+    uses no share until that usage has left the limit's window.
     """
 
     def __init__(self) -> None:
-        self._heard_since = 0.0
-        self._heard_at: float | None = None
+        self._connected_since = 0.0
+        self._last_heard_at: float | None = None
         self._counts: deque[tuple[float, int]] = deque()
 
     @callback
-    def note_told(self, members: int, now: float) -> None:
-        """Take the count that the holder, heard at present, has told."""
-        if not self._is_heard(now):
-            self._heard_since = now
-        self._heard_at = now
+    def record_member_count(self, members: int, now: float) -> None:
+        """Record the count announced by the currently connected holder."""
+        if not self._is_connected(now):
+            self._connected_since = now
+        self._last_heard_at = now
         while self._counts and self._counts[-1][1] <= members:
             self._counts.pop()
         self._counts.append((now, members))
-        while now - self._counts[0][0] > MEMORY:
+        while now - self._counts[0][0] > COUNT_RETENTION:
             self._counts.popleft()
 
     @callback
     def members(self, window: float, now: float) -> int | None:
-        """Return the bound, for a limit that holds for each `window` of some seconds.
+        """Return the bound for a limit per window, whose length is given in seconds.
 
-        None while this instance takes no share.
+        Return None while this instance must not use a share.
         """
-        in_touch = now - self._heard_since if self._is_heard(now) else 0.0
-        if in_touch < window + TELL_TIME:
+        connected_seconds = (
+            now - self._connected_since if self._is_connected(now) else 0.0
+        )
+        if connected_seconds < window + ANNOUNCEMENT_TIME:
             return None
         return self._counts[0][1]
 
     @callback
-    def _is_heard(self, now: float) -> bool:
-        """Return whether a holder was heard lately."""
-        return self._heard_at is not None and now - self._heard_at <= MAX_GAP
+    def _is_connected(self, now: float) -> bool:
+        """Return whether a holder was connected recently."""
+        return (
+            self._last_heard_at is not None
+            and now - self._last_heard_at <= MAX_HOLDER_SILENCE
+        )
 
 
 @callback
-def members_to_tell(members: int, told: int) -> int:
-    """Return the count to tell, at least the members; `told` was told last."""
-    most = members + members // HEADROOM
-    if members <= told <= most + members // HEADROOM + 1:
-        return told
-    return most
+def member_count_to_announce(members: int, announced: int) -> int:
+    """Return the count to announce, at least `members`.
+
+    `announced` is the last announced count; it is kept while it is close enough.
+    """
+    preferred = members + members // HEADROOM_DIVISOR
+    if members <= announced <= preferred + members // HEADROOM_DIVISOR + 1:
+        return announced
+    return preferred
--- a/swiftpin/router/known_leader.py
+++ b/swiftpin/router/known_leader.py
@@ -1,4 +1,4 @@
-"""Who holds the lease, as far as this instance knows."""
+"""The lease holder as known to this instance."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 from swiftpin.fleet.proto import fleet_pb2 as pb
 from swiftpin.keyranges.lease_record import LeaseRecord
 
-LEADER_SILENCE: Final = 0.65
-"""Seconds without a heartbeat after which candidates begin to look at the lease;
-with one heartbeat late nothing is lost but some reads."""
+LEADER_HEARTBEAT_TIMEOUT: Final = 0.65
+"""Seconds without a heartbeat after which candidates begin to read the lease; a single
+late heartbeat costs only a few reads."""
 
 
 class KnownLeader:
-    """Newest record of the lease, from the store or from other instances."""
+    """Holds the newest lease record, from the store or from other instances."""
 
     def __init__(self, links: FleetLinks) -> None:
         self.record = LeaseRecord(holder="", peer="", term=0, renewal=0)
         self._links = links
 
     @callback
-    def note_record(self, record: LeaseRecord) -> None:
-        """Take a record that was read or written in the store."""
+    def adopt_record(self, record: LeaseRecord) -> None:
+        """Adopt a record that was read from or written to the store, unless older."""
         if (record.term, record.renewal) >= (self.record.term, self.record.renewal):
             self.record = record
 
     @callback
-    def note_heartbeat(self, heartbeat: pb.Heartbeat) -> None:
-        """Take what another instance knows, if its term is newer."""
+    def adopt_heartbeat(self, heartbeat: pb.Heartbeat) -> None:
+        """Adopt the holder announced in a heartbeat if its term is newer."""
         if heartbeat.term <= self.record.term:
             return
         self.record = LeaseRecord(
@@ -40,15 +40,15 @@
         )
 
     @callback
-    def is_heard(self, term: int, now: float) -> bool:
-        """Return whether another instance says that it holds the lease, since a term.
+    def is_holder_alive(self, term: int, now: float) -> bool:
+        """Return whether recent heartbeats claim the lease in this or a later term.
 
-        `now` is on the event loop's clock, as the times of links are.
+        `now` is a time of the event loop's clock, like the timestamps of links.
         """
         return any(
             link.heartbeat is not None
             and link.heartbeat.leads
             and link.heartbeat.term >= term
-            and now - link.last_received_at < LEADER_SILENCE
+            and now - link.last_received_at < LEADER_HEARTBEAT_TIMEOUT
             for link in self._links.live_links()
         )
--- a/swiftpin/router/leader.py
+++ b/swiftpin/router/leader.py
@@ -1,4 +1,4 @@
-"""Duties of the instance that holds the lease."""
+"""Duties of the lease holder."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from swiftpin.model.configuration import Configuration
 from swiftpin.router.configuration_holder import ConfigurationHolder
 
-TICK: Final = 0.1
-"""Seconds between two looks whether this instance leads."""
+POLL_INTERVAL: Final = 0.1
+"""Seconds between two checks whether this instance holds the lease."""
 
 
 class Leader:
-    """Runs an assigner for each service divided by key while the lease is held."""
+    """Runs an assigner for each keyed service while this instance holds the lease."""
 
     def __init__(
         self,
@@ -40,31 +40,31 @@
         self._term = 0
 
     async def async_run(self) -> None:
-        """Lead whenever the lease is held, until cancelled."""
+        """Run the assigners whenever the lease is held, until cancelled."""
         try:
             while True:
                 now = suspend_aware_now()
-                self.note_configuration()
+                self.update_candidacy()
                 if self._lease.is_held(now):
-                    self._keep()
+                    self._run_assigners()
                 else:
-                    self._drop_all()
-                await asyncio.sleep(TICK)
+                    self._stop_assigners()
+                await asyncio.sleep(POLL_INTERVAL)
         finally:
-            self._drop_all()
+            self._stop_assigners()
 
     @callback
-    def note_configuration(self) -> None:
-        """Be ready for the lease as soon as there is a configuration.
+    def update_candidacy(self) -> None:
+        """Become a candidate for the lease as soon as there is a configuration.
 
-        The targets need not be known: their grants may end before they are.
+        The targets need not be known yet: their grants could expire before they are.
         """
         if self._configuration.current is not None:
-            self._lease.note_willing()
+            self._lease.note_eligible()
 
     @callback
-    def take_load(self, report: Item) -> None:
-        """Take what an instance was asked for."""
+    def handle_load_report(self, report: Item) -> None:
+        """Pass an instance's load report to the assigners."""
         for load in report.loads:
             assigner = self._assigners_by_service.get(load.service)
             if assigner is not None:
@@ -76,15 +76,15 @@
             for seconds in times.seconds:
                 assigner.speed.add(times.target, seconds, failed=False)
             for seconds in times.cut_seconds:
-                assigner.speed.add_cut(times.target, seconds)
+                assigner.speed.add_abandoned(times.target, seconds)
             for _ in range(times.failures):
                 assigner.speed.add(times.target, 0.0, failed=True)
 
     @callback
-    def _keep(self) -> None:
-        """Run an assigner for each service that has keys."""
+    def _run_assigners(self) -> None:
+        """Start missing assigners, one for each keyed service."""
         if self._term != self._lease.term:
-            self._drop_all()
+            self._stop_assigners()
             self._term = self._lease.term
         configuration = self._configuration.current
         if configuration is None:
@@ -107,12 +107,12 @@
                 assigner.async_run()
             )
         self._lease.wants_next_term = any(
-            fences.is_nearly_spent for fences in self._fences_by_service.values()
+            fences.is_nearly_exhausted for fences in self._fences_by_service.values()
         )
 
     @callback
-    def _drop_all(self) -> None:
-        """Stop all assigners; the grants go on until they end."""
+    def _stop_assigners(self) -> None:
+        """Stop all assigners; existing grants stay valid until they expire."""
         for task in self._tasks_by_service.values():
             task.cancel()
         self._tasks_by_service.clear()
--- a/tests/keyranges/test_assignment_loader.py
+++ b/tests/keyranges/test_assignment_loader.py
@@ -1,4 +1,4 @@
-"""Tests of where an assigner begins."""
+"""Tests of loading the assignment that an assigner starts from."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from swiftpin.keyranges.assignment import Assignment
 from swiftpin.keyranges.assignment_loader import AssignmentLoader
 from swiftpin.keyranges.assignment_record import AssignmentRecord
-from swiftpin.keyranges.const import CLOCK_DRIFT, CONTROL_TIMEOUT, HOLD_MARGIN
+from swiftpin.keyranges.const import CLOCK_DRIFT_FACTOR, CONTROL_TIMEOUT, HOLD_MARGIN
 from swiftpin.keyranges.fences import Fences
 from swiftpin.keyranges.granter import Granter
 from swiftpin.keyranges.hold_times import HoldLimit
@@ -28,7 +28,7 @@
 
 
 class FakeRecord:
-    """A record that is there, or not, or not to be reached."""
+    """A record that may exist, be missing or be unreadable."""
 
     revision = 1
 
@@ -45,13 +45,13 @@
         return self.assignment
 
     async def async_create(self, assignment: Assignment) -> None:
-        """Take the first assignment."""
+        """Store the initial assignment."""
         self.assignment = assignment
 
 
 @pytest.fixture(name="record")
 def record_fixture() -> FakeRecord:
-    """Return a record that is not there."""
+    """Return a missing record."""
     return FakeRecord()
 
 
@@ -71,7 +71,7 @@
         sessions=sessions,
         directory=directory,
         health_path="/health",
-        usual_hold=lambda: 0.0,
+        regular_hold=lambda: 0.0,
         fences=Fences(),
         term=1,
     )
@@ -85,9 +85,9 @@
     monkeypatch: pytest.MonkeyPatch,
     sessions: TargetSessions,
 ) -> Callable[[], AssignmentLoader]:
-    """Return what makes a loader that does not wait."""
-    monkeypatch.setattr(loader_module, "FIRST_TARGETS_WAIT", 0.0)
-    monkeypatch.setattr(loader_module, "READ_PAUSE", 0.0)
+    """Return a factory for loaders that don't wait."""
+    monkeypatch.setattr(loader_module, "TARGETS_SETTLE_TIME", 0.0)
+    monkeypatch.setattr(loader_module, "READ_RETRY_DELAY", 0.0)
     return lambda: AssignmentLoader(
         service="desk",
         record=cast(AssignmentRecord, record),
@@ -100,36 +100,38 @@
 
 
 @pytest.mark.parametrize(("recorded", "hold"), [(5.9, 5.9), (None, LONGEST)])
-async def test_successor_counts_with_the_recorded_hold(
+async def test_successor_waits_for_the_recorded_hold(
     record: FakeRecord,
     sessions: TargetSessions,
     make_loader: Callable[[], AssignmentLoader],
     recorded: float | None,
     hold: float,
 ) -> None:
-    """Symptom: two targets held the same keys after a take-over.
+    """Two targets must not hold the same keys after a takeover.
 
-    Sequence: the former assigner gave long grants, then joined segments to few; its
-    successor took the grants for ended too early. Cause: it guessed how long they last
-    from the number of segments.
+    The previous assigner sent long grants and then merged many segments into a few. Its
+    successor derived the duration of the grants from the number of segments and so
+    considered them expired too early.
     """
     record.assignment = Assignment(
-        segments=(Segment(first=0, last=65535, owner="b@1", fence=5, former="a@1"),),
-        longest_hold=recorded,
+        segments=(
+            Segment(first=0, last=65535, owner="b@1", fence=5, former_owner="a@1"),
+        ),
+        max_hold=recorded,
     )
     loader = make_loader()
     assert await loader.async_load(100.0) == record.assignment
-    ends_at = 100.0 + CONTROL_TIMEOUT + hold * CLOCK_DRIFT + HOLD_MARGIN
-    assert sessions.of("a@1").held_until == pytest.approx(ends_at)
-    assert sessions.of("b@1").held_until == pytest.approx(ends_at)
-    assert not loader.is_first_division
+    ends_at = 100.0 + CONTROL_TIMEOUT + hold * CLOCK_DRIFT_FACTOR + HOLD_MARGIN
+    assert sessions.get_or_create("a@1").held_until == pytest.approx(ends_at)
+    assert sessions.get_or_create("b@1").held_until == pytest.approx(ends_at)
+    assert not loader.is_new_assignment
 
 
-async def test_store_that_does_not_serve_is_asked_again(
+async def test_read_is_retried_while_the_store_is_unavailable(
     record: FakeRecord, make_loader: Callable[[], AssignmentLoader]
 ) -> None:
-    """A record that cannot be read is never taken for a missing one."""
-    record.errors = [StoreUnavailableError("away") for _ in range(3)]
+    """An unreadable record is not mistaken for a missing one."""
+    record.errors = [StoreUnavailableError("unavailable") for _ in range(3)]
     record.assignment = Assignment(
         segments=(Segment(first=0, last=65535, owner="a@1", fence=5),)
     )
@@ -137,13 +139,13 @@
     assert not record.errors
 
 
-async def test_first_division_goes_to_lives(
+async def test_initial_assignment_names_target_lives(
     record: FakeRecord, make_loader: Callable[[], AssignmentLoader]
 ) -> None:
-    """The record names lives of targets, and the longest grant from its first write."""
+    """The first record contains target lives and the duration of the longest grant."""
     loader = make_loader()
     assignment = await loader.async_load(100.0)
     assert {segment.owner for segment in assignment.segments} == {"a@1"}
-    assert assignment.longest_hold is not None
-    assert loader.is_first_division
+    assert assignment.max_hold is not None
+    assert loader.is_new_assignment
     assert record.assignment == assignment
--- a/tests/keyranges/test_late_renewals.py
+++ b/tests/keyranges/test_late_renewals.py
@@ -113,13 +113,13 @@
         client=cast(StoreClient, store),
         health=StoreHealth(),
         rng=Random(1),
-        strength=2.0,
+        cpu_capacity=2.0,
         first_start=True,
         is_holder_heard=lambda holder: False,
         is_linked=lambda: False,
     )
-    lease.note_willing()
-    await lease._async_wait_turn(now)
+    lease.note_eligible()
+    await lease._async_poll(now)
     assert lease.is_held(now)
     pass_time(0.4)
     sent_at = now
@@ -148,7 +148,7 @@
         client=cast(StoreClient, store),
         health=health,
         rng=Random(1),
-        strength=2.0,
+        cpu_capacity=2.0,
         first_start=True,
         is_holder_heard=lambda holder: False,
         is_linked=lambda: False,
@@ -165,16 +165,16 @@
         lease=lease,
         health=health,
         permits=PermitBroker("a/1", "z"),
-        key_maps=cast(KeyMapSharing, SimpleNamespace(hand_out=lambda key_map: None)),
+        key_maps=cast(KeyMapSharing, SimpleNamespace(publish=lambda key_map: None)),
     )
-    lease.note_willing()
-    await lease._async_wait_turn(suspend_aware_now())
+    lease.note_eligible()
+    await lease._async_poll(suspend_aware_now())
     assigner = factory.make("desk", configuration, Fences())
     gate = assigner._renewer._granter._control._gate
     gate(0.0)
     await lease.async_give_up()
     lease.is_standing_down = False
-    await lease._async_wait_turn(suspend_aware_now())
+    await lease._async_poll(suspend_aware_now())
     assert lease.is_held(suspend_aware_now())
     with pytest.raises(RequestNotSentError):
         gate(0.0)
--- a/tests/keyranges/test_plan_at_the_limit.py
+++ b/tests/keyranges/test_plan_at_the_limit.py
@@ -16,8 +16,8 @@
 from __future__ import annotations
 
 from swiftpin.keyranges.assignment import Assignment
-from swiftpin.keyranges.const import KEYS
-from swiftpin.keyranges.planner import MOST_SEGMENTS, plan_moves
+from swiftpin.keyranges.const import KEY_COUNT
+from swiftpin.keyranges.planner import MAX_SEGMENTS_PER_TARGET, plan_moves
 from swiftpin.keyranges.segment import Segment
 
 TARGETS = tuple(f"t-{number}" for number in range(10))
@@ -28,7 +28,7 @@
 
 def cut_up(pieces: int) -> Assignment:
     """Return keys in equal pieces that the targets own by turns."""
-    bounds = [KEYS * number // pieces for number in range(pieces + 1)]
+    bounds = [KEY_COUNT * number // pieces for number in range(pieces + 1)]
     return Assignment(
         segments=tuple(
             Segment(
@@ -47,7 +47,9 @@
     capacities = dict.fromkeys(TARGETS, CAPACITY)
     for number in range(PLANS):
         moves = plan_moves(assignment, capacities, rates)
-        joined, _ = assignment.with_joined(1000 * number + 1000, len(moves) + 100)
+        joined, _ = assignment.with_merged_neighbours(
+            1000 * number + 1000, len(moves) + 100
+        )
         planned = joined.with_moves(moves, 1000 * number + 1500)
         segments = tuple(
             Segment(
@@ -72,7 +74,7 @@
 
 def test_load_is_evened_out_among_many_ranges() -> None:
     """One target's keys are asked for twice as often as it bears, others idle."""
-    assignment = cut_up(MOST_SEGMENTS * len(TARGETS) + 5)
+    assignment = cut_up(MAX_SEGMENTS_PER_TARGET * len(TARGETS) + 5)
     rates = {
         (segment.first + segment.last) // 2: 3.0 if segment.owner == "t-0" else 0.5
         for segment in assignment.segments
@@ -84,7 +86,7 @@
 
 def test_new_hot_neighbours_are_shared_out_among_many_ranges() -> None:
     """Keys of one range become hot together once there are many ranges."""
-    assignment = cut_up(MOST_SEGMENTS * len(TARGETS) + 5)
+    assignment = cut_up(MAX_SEGMENTS_PER_TARGET * len(TARGETS) + 5)
     hot = range(1100, 1200)
     assert assignment.segment_of(1100) == assignment.segment_of(1199)
     rates = {segment.first: 0.3 for segment in assignment.segments}
@@ -95,7 +97,7 @@
 
 def test_ranges_become_fewer_again() -> None:
     """Pieces between two owners are joined to one of them once they are cold."""
-    assignment = cut_up(MOST_SEGMENTS * len(TARGETS) + 5)
+    assignment = cut_up(MAX_SEGMENTS_PER_TARGET * len(TARGETS) + 5)
     rates = {segment.first: 0.3 for segment in assignment.segments}
     after = carry_out(assignment, rates)
-    assert len(after.segments) < MOST_SEGMENTS * len(TARGETS) / 2
+    assert len(after.segments) < MAX_SEGMENTS_PER_TARGET * len(TARGETS) / 2
--- a/tests/router/test_heartbeats.py
+++ b/tests/router/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""Tests of what heartbeats carry."""
+"""Tests of the content of heartbeats."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Member:
-    """Heartbeats of an instance, and what it believes."""
+    """Heartbeats of an instance and the fake state behind them."""
 
     def __init__(self) -> None:
         self.lease = SimpleNamespace(
@@ -37,11 +37,11 @@
         self.echoes: list[float] = []
         self.evacuations = Evacuations(5.0)
         votes = SimpleNamespace(
-            give=lambda link, now: True,
-            take=lambda link, echo: self.echoes.append(echo),
+            cast_vote=lambda link, now: True,
+            handle_vote=lambda link, echo: self.echoes.append(echo),
         )
         self.leader = KnownLeader(make_links())
-        self.leader.note_record(
+        self.leader.adopt_record(
             LeaseRecord(holder="a/1", peer="a:1", term=4, renewal=1)
         )
         self.heartbeats = Heartbeats(
@@ -60,36 +60,36 @@
         )
 
 
-def test_heartbeat_tells_leader_versions_and_the_echo() -> None:
-    """The echo lets the other side count a vote from when it asked for it."""
+def test_heartbeat_contains_leader_versions_and_echo() -> None:
+    """The echo lets the receiver count a vote from the time of its own request."""
     member = Member()
     heartbeat = member.heartbeats.make(FakeLink("b", sent_at=3.5), NOW).heartbeat
     assert (heartbeat.leader, heartbeat.term, heartbeat.targets) == ("a/1", 4, 7)
     assert (heartbeat.sent_at, heartbeat.echo, heartbeat.vote) == (NOW, 3.5, True)
 
 
-def test_heartbeat_brings_votes_resignations_and_newer_leaders() -> None:
-    """Votes count from their echo; terms only grow."""
+def test_received_heartbeat_updates_votes_resignations_and_leader() -> None:
+    """Votes count from their echo, and terms never decrease."""
     member = Member()
     link = FakeLink("b")
     heartbeat = pb.Heartbeat(
         term=5, leader="c/1", leader_peer="c:1", vote=True, echo=9.0, resigned_term=1
     )
-    member.heartbeats.take(link, heartbeat)
+    member.heartbeats.handle(link, heartbeat)
     assert link.heartbeat is heartbeat
     assert member.echoes == [9.0]
     assert member.lease.resigned_term == 2
     assert member.leader.record.holder == "c/1"
 
 
-def test_heartbeat_brings_evacuations_that_are_newer() -> None:
-    """Guards against a zone that stays in use where the store is not heard."""
-    teller, learner = Member(), Member()
+def test_received_heartbeat_updates_evacuations() -> None:
+    """Guards against an evacuated zone that stays in use where the store is lost."""
+    sender, receiver = Member(), Member()
     zone = PlatformObject(name="z1", revision=5, is_deleted=False, document={})
-    teller.evacuations.adopt_changes((zone,), 5, NOW - 2.0)
-    heartbeat = teller.heartbeats.make(FakeLink("b"), NOW).heartbeat
-    learner.heartbeats.take(FakeLink("a"), heartbeat)
-    assert learner.evacuations.is_evacuated("z1")
-    assert learner.evacuations.version == 5
+    sender.evacuations.adopt_changes((zone,), 5, NOW - 2.0)
+    heartbeat = sender.heartbeats.make(FakeLink("b"), NOW).heartbeat
+    receiver.heartbeats.handle(FakeLink("a"), heartbeat)
+    assert receiver.evacuations.is_evacuated("z1")
+    assert receiver.evacuations.version == 5
     (age,) = heartbeat.evacuated_for
     assert age == pytest.approx(2.0)
--- a/tests/router/test_issuer_list.py
+++ b/tests/router/test_issuer_list.py
@@ -1,4 +1,4 @@
-"""Tests of the list of issuers."""
+"""Tests of the list of permit issuers."""
 
 from __future__ import annotations
 
@@ -10,26 +10,29 @@
 from swiftpin.keyranges.lease_election import LeaseElection
 from swiftpin.permits.permit_broker import PermitBroker
 from swiftpin.permits.permit_issuers import NO_ISSUERS, PermitIssuers
-from swiftpin.router.fleet_size import MAX_GAP
+from swiftpin.router.fleet_size import MAX_HOLDER_SILENCE
 from swiftpin.router.issuer_list import IssuerList
-from swiftpin.router.watch_duty import CONFIGURATION_WATCHERS, first_issuers
+from swiftpin.router.watch_duty import (
+    CONFIGURATION_WATCHERS,
+    choose_configuration_watchers,
+)
 from tests.router.fleet_fakes import FakeLink, make_links
 
 TERM = 5
 NOW = 100.0
 
 
-class Chooser:
-    """The list at an instance that holds the lease, and what it works with."""
+class Holder:
+    """The issuer list of a lease holder and the fakes it depends on."""
 
     def __init__(self, *links: FakeLink, targets: int = 0) -> None:
         self.lease = SimpleNamespace(term=TERM, members=())
         self.permits = SimpleNamespace(issuers=NO_ISSUERS)
         self.lifecycle = Lifecycle()
-        self.list = IssuerList(
+        self.issuer_list = IssuerList(
             incarnation="own/1",
             own_peer="own:1",
-            strength=1.0,
+            cpu_capacity=1.0,
             links=make_links(*links),
             lease=cast(LeaseElection, self.lease),
             permits=cast(PermitBroker, self.permits),
@@ -41,103 +44,103 @@
         )
 
     @property
-    def chosen(self) -> set[str]:
-        """Return the issuers."""
+    def issuer_names(self) -> set[str]:
+        """Return the selected issuers."""
         return set(self.permits.issuers.peers_by_incarnation)
 
 
-def test_list_goes_to_everyone_once() -> None:
-    """A list that has not changed is not told again."""
+def test_unchanged_list_is_published_once() -> None:
+    """All members receive a new list; an unchanged list is not sent again."""
     link = FakeLink("a")
-    chooser = Chooser(link)
-    chooser.list.choose(NOW)
-    chooser.list.choose(NOW)
-    assert chooser.chosen == {"own/1", "a/1"}
+    holder = Holder(link)
+    holder.issuer_list.update(NOW)
+    holder.issuer_list.update(NOW)
+    assert holder.issuer_names == {"own/1", "a/1"}
     (item,) = link.sent
     assert (item.issuers.term, item.issuers.members) == (TERM, 2)
-    assert set(chooser.lease.members) == {"own", "a"}
+    assert set(holder.lease.members) == {"own", "a"}
 
 
-def test_instances_that_leave_issue_nothing() -> None:
-    """An issuer that ends takes the permits of its targets with it."""
-    chooser = Chooser(FakeLink("a"), FakeLink("b", stopping=True))
-    chooser.list.choose(NOW)
-    assert chooser.chosen == {"own/1", "a/1"}
-    chooser.lifecycle.leaving = True
-    chooser.list.choose(NOW)
-    assert chooser.chosen == {"a/1"}
+def test_stopping_instances_are_not_issuers() -> None:
+    """When an issuer stops, the permits of its targets are lost."""
+    holder = Holder(FakeLink("a"), FakeLink("b", stopping=True))
+    holder.issuer_list.update(NOW)
+    assert holder.issuer_names == {"own/1", "a/1"}
+    holder.lifecycle.leaving = True
+    holder.issuer_list.update(NOW)
+    assert holder.issuer_names == {"a/1"}
 
 
-def test_instances_that_leave_are_counted() -> None:
-    """Failure: the shares of instances that ended, and still sent, were given away."""
-    chooser = Chooser(FakeLink("a"), FakeLink("b", stopping=True))
-    chooser.lifecycle.leaving = True
-    chooser.list.choose(NOW)
-    assert chooser.permits.issuers.members == 3
+def test_stopping_instances_are_counted() -> None:
+    """Guards against reuse of the shares of stopping instances that still send."""
+    holder = Holder(FakeLink("a"), FakeLink("b", stopping=True))
+    holder.lifecycle.leaving = True
+    holder.issuer_list.update(NOW)
+    assert holder.permits.issuers.members == 3
 
 
-def test_instances_that_are_cut_off_are_counted_for_a_while() -> None:
-    """Failure: the share of one that was cut off, and still sent, was given away."""
+def test_disconnected_instances_are_counted_for_a_while() -> None:
+    """Guards against reuse of the share of a disconnected instance that still sends."""
     links = [FakeLink(f"m-{number}") for number in range(7)]
-    chooser = Chooser(*links)
-    chooser.list.choose(NOW)
-    told = chooser.permits.issuers.members
-    chooser.list._links = make_links()
-    chooser.list.choose(NOW + MAX_GAP)
-    assert chooser.permits.issuers.members == told
-    chooser.list.choose(NOW + MAX_GAP + 0.1)
-    assert chooser.permits.issuers.members == 1
+    holder = Holder(*links)
+    holder.issuer_list.update(NOW)
+    announced = holder.permits.issuers.members
+    holder.issuer_list._links = make_links()
+    holder.issuer_list.update(NOW + MAX_HOLDER_SILENCE)
+    assert holder.permits.issuers.members == announced
+    holder.issuer_list.update(NOW + MAX_HOLDER_SILENCE + 0.1)
+    assert holder.permits.issuers.members == 1
 
 
 def test_every_member_is_counted() -> None:
-    """Failure: one member more in eight was told to nobody."""
+    """Guards against an added member that is missing from the announced count."""
     links = [FakeLink(f"m-{number}") for number in range(7)]
-    chooser = Chooser(*links)
-    chooser.list.choose(NOW)
+    holder = Holder(*links)
+    holder.issuer_list.update(NOW)
     for number in range(7, 20):
         links.append(FakeLink(f"m-{number}"))
-        chooser.list._links = make_links(*links)
-        chooser.list.choose(NOW)
-        assert chooser.permits.issuers.members > len(links)
+        holder.issuer_list._links = make_links(*links)
+        holder.issuer_list.update(NOW)
+        assert holder.permits.issuers.members > len(links)
 
 
-def test_list_of_a_new_term_is_told_even_if_it_is_the_same() -> None:
-    """Members keep to the list of the newest term only."""
+def test_unchanged_list_is_published_again_in_a_new_term() -> None:
+    """Members use only the list of the newest term."""
     link = FakeLink("a")
-    chooser = Chooser(link)
-    chooser.list.choose(NOW)
-    chooser.lease.term += 1
-    chooser.list.choose(NOW)
+    holder = Holder(link)
+    holder.issuer_list.update(NOW)
+    holder.lease.term += 1
+    holder.issuer_list.update(NOW)
     assert [item.issuers.term for item in link.sent] == [TERM, TERM + 1]
 
 
-def test_older_list_is_not_taken() -> None:
-    """A list that was overtaken on its way changes nothing."""
-    chooser = Chooser()
+def test_older_list_is_not_adopted() -> None:
+    """A list that arrives after a newer one is ignored."""
+    holder = Holder()
     for number, name in ((2, "new/1"), (1, "old/1")):
-        chooser.list.take(
+        holder.issuer_list.adopt(
             PermitIssuers(
                 term=TERM, number=number, peers_by_incarnation={name: ""}, members=1
             )
         )
-    assert chooser.chosen == {"new/1"}
+    assert holder.issuer_names == {"new/1"}
 
 
 def test_issuers_that_lost_the_store_do_not_watch_it() -> None:
-    """A whole fleet called a store that had turned its few watchers away."""
+    """Guards against a whole fleet that watches a store lost by its watchers."""
     names = [f"strong-{number}" for number in range(CONFIGURATION_WATCHERS + 1)]
     links = [FakeLink(name) for name in names]
     for link in links:
         link.cpu_capacity = 4.0
-    chooser = Chooser(*links, targets=100)
-    chooser.list.choose(NOW)
+    holder = Holder(*links, targets=100)
+    holder.issuer_list.update(NOW)
     lost = links[0]
     assert lost.heartbeat is not None
-    assert lost.incarnation in first_issuers(
-        chooser.permits.issuers.peers_by_incarnation
+    assert lost.incarnation in choose_configuration_watchers(
+        holder.permits.issuers.peers_by_incarnation
     )
     lost.heartbeat.store_lost = True
-    chooser.list.choose(NOW)
-    issuers = chooser.permits.issuers.peers_by_incarnation
-    assert lost.incarnation not in first_issuers(issuers)
+    holder.issuer_list.update(NOW)
+    issuers = holder.permits.issuers.peers_by_incarnation
+    assert lost.incarnation not in choose_configuration_watchers(issuers)
     assert len(links[1].sent) == 2
--- a/tests/router/test_key_map_sharing.py
+++ b/tests/router/test_key_map_sharing.py
@@ -1,4 +1,4 @@
-"""Tests of key maps on their way between instances."""
+"""Tests of the distribution of key maps between instances."""
 
 from __future__ import annotations
 
@@ -14,32 +14,32 @@
 
 
 def make_map(number: int, term: int = 1) -> KeyMap:
-    """Return a map with one owner."""
+    """Return a key map with one owner."""
     return KeyMap(
         service=SERVICE, term=term, number=number, firsts=(0,), owners=("t1",)
     )
 
 
 def make_sharing(maps: KeyMaps, *links: FakeLink) -> KeyMapSharing:
-    """Return the sharing of an instance that misses nothing."""
+    """Return the sharing of an instance that must not request any map."""
     return KeyMapSharing(make_links(*links), maps, lambda link: pytest.fail("asks"))
 
 
 @pytest.fixture(name="maps")
 def maps_fixture() -> KeyMaps:
-    """Return maps, of which one is known."""
+    """Return key maps that contain one map."""
     maps = KeyMaps()
     maps.adopt(make_map(1))
     return maps
 
 
-def test_next_map_goes_out_as_a_change(maps: KeyMaps) -> None:
-    """Only a map that does not follow the last one goes out whole."""
+def test_successive_map_is_published_as_a_change(maps: KeyMaps) -> None:
+    """A complete map is sent only if it does not follow the previous one."""
     link = FakeLink("a")
     sharing = make_sharing(maps, link)
     change = OwnerChange(first=5, last=9, owner="t2")
-    sharing.hand_out(make_map(1).with_changes([change]))
-    sharing.hand_out(make_map(9, term=2))
+    sharing.publish(make_map(1).with_changes([change]))
+    sharing.publish(make_map(9, term=2))
     assert [item.WhichOneof("body") for item in link.sent] == [
         "key_map_change",
         "key_map",
@@ -47,15 +47,15 @@
     assert list(link.sent[0].key_map_change.owners) == ["t2"]
 
 
-def test_change_of_the_known_map_is_taken(maps: KeyMaps) -> None:
-    """What one instance hands out as a change, another puts in force."""
+def test_change_of_the_known_map_is_applied(maps: KeyMaps) -> None:
+    """An instance applies the change that another one publishes."""
     link = FakeLink("a")
     sender = KeyMaps()
     sender.adopt(make_map(1))
     change = OwnerChange(first=5, last=9, owner="t2")
-    make_sharing(sender, link).hand_out(make_map(1).with_changes([change]))
+    make_sharing(sender, link).publish(make_map(1).with_changes([change]))
     sharing = make_sharing(maps)
-    sharing.take_change(link, link.sent[0].key_map_change)
+    sharing.handle_change(link, link.sent[0].key_map_change)
     assert [maps.owner_of(SERVICE, key) for key in (4, 5, 9, 10)] == [
         "t1",
         "t2",
@@ -65,22 +65,21 @@
 
 
 @pytest.mark.parametrize(("number", "asks"), [(3, 1), (1, 0), (0, 0)])
-def test_whole_map_is_asked_for_after_a_gap_only(
+def test_complete_map_is_requested_only_after_a_gap(
     maps: KeyMaps, number: int, asks: int
 ) -> None:
-    """Symptom: an instance went on with an old map.
+    """Guards against an instance that keeps an old map after a missed change.
 
-    Sequence: it missed a change and took the one after it, or none. Cause: a change
-    is of use only on the map before it.
+    A change applies only to the map directly before it.
     """
     source = FakeLink("a")
     sender = KeyMaps()
     sender.adopt(make_map(number - 1))
     change = OwnerChange(first=5, last=9, owner="t2")
-    make_sharing(sender, source).hand_out(make_map(number - 1).with_changes([change]))
+    make_sharing(sender, source).publish(make_map(number - 1).with_changes([change]))
     link = FakeLink("b")
     asked: list[PeerLink] = []
     sharing = KeyMapSharing(make_links(), maps, asked.append)
-    sharing.take_change(link, source.sent[0].key_map_change)
+    sharing.handle_change(link, source.sent[0].key_map_change)
     assert asked == [link] * asks
     assert maps.maps_by_service[SERVICE] == make_map(1)
--- a/tests/router/test_leader.py
+++ b/tests/router/test_leader.py
@@ -1,4 +1,4 @@
-"""Tests of the duties of the instance that holds the lease."""
+"""Tests of the duties of the lease holder."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from types import SimpleNamespace
 from typing import Any, cast
 
-from swiftpin.keyranges.fences import FENCES_A_TERM, Fences
+from swiftpin.keyranges.fences import FENCES_PER_TERM, Fences
 from swiftpin.keyranges.lease_election import LeaseElection
 from swiftpin.keyranges.range_assigner import RangeAssigner
 from swiftpin.model.configuration import Configuration
@@ -14,11 +14,11 @@
 from swiftpin.router.leader import Leader
 
 
-async def test_next_term_is_asked_for_when_fences_are_scarce() -> None:
-    """Symptom: no target took what a successor granted.
+async def test_next_term_is_requested_when_fences_run_low() -> None:
+    """Guards against fences of the next term that are used in the current one.
 
-    Sequence: a holder's connections broke at each call, and each grant took a fence,
-    until they reached those of the next term. Cause: nobody began that term in time.
+    When connections break at every call, each failed grant takes a fence. Once they
+    reached the next term's fences, the targets refused the grants of a successor.
     """
     lease = SimpleNamespace(term=3, wants_next_term=False)
     service = SimpleNamespace(name="desk", is_keyed=True)
@@ -39,28 +39,28 @@
         configuration=cast(ConfigurationHolder, configuration),
         make_assigner=make_assigner,
     )
-    leader._keep()
+    leader._run_assigners()
     assert not lease.wants_next_term
-    made[0].take(FENCES_A_TERM - 1)
-    leader._keep()
+    made[0].allocate(FENCES_PER_TERM - 1)
+    leader._run_assigners()
     assert lease.wants_next_term
     lease.term, lease.wants_next_term = 4, False
-    leader._keep()
-    leader._keep()
+    leader._run_assigners()
+    leader._run_assigners()
     assert len(made) == 2
     assert not lease.wants_next_term
-    leader._drop_all()
+    leader._stop_assigners()
 
 
-async def test_instance_that_has_just_started_may_lead_at_once() -> None:
-    """Symptom: no key had an owner for two seconds after all instances had restarted.
+async def test_newly_started_instance_may_lead_at_once() -> None:
+    """Guards against keys without an owner for two seconds after a restart of all.
 
-    Sequence: all instances ended and started; the grants of before ended while the
-    first list of targets was not yet sure. Cause: nobody took the lease until it was.
+    The earlier grants expired while the first list of targets was unconfirmed, and no
+    instance acquired the lease until it was confirmed.
     """
     willing: list[bool] = []
     lease = SimpleNamespace(
-        term=0, note_willing=lambda: willing.append(True), is_held=lambda now: False
+        term=0, note_eligible=lambda: willing.append(True), is_held=lambda now: False
     )
     leader = Leader(
         lease=cast(LeaseElection, lease),
