--- a/swiftpin/fleet/link.py
+++ b/swiftpin/fleet/link.py
@@ -67,7 +67,7 @@
         *,
         is_outgoing: bool,
         traffic: LinkTraffic | None = None,
-        documents: DocumentBudget | None = None,
+        document_budget: DocumentBudget | None = None,
     ) -> None:
         self.is_outgoing = is_outgoing
         self.incarnation = ""
@@ -95,7 +95,7 @@
         self._handler = handler
         self._queue: list[Item] = []
         self._document_channel = DocumentChannel(
-            documents or DocumentBudget(0.0), self.send, self._traffic
+            document_budget or DocumentBudget(0.0), self.send, self._traffic
         )
         self._queue_filled = asyncio.Event()
 
--- a/swiftpin/fleet/links.py
+++ b/swiftpin/fleet/links.py
@@ -42,7 +42,7 @@
         self.incoming: set[PeerLink] = set()
         self.on_lost: Callable[[PeerLink], None] = _ignore_lost_link
         self.traffic = LinkTraffic()
-        self._documents = DocumentBudget(bandwidth)
+        self._document_budget = DocumentBudget(bandwidth)
         self._incarnation = incarnation
         self._own_peer = own_peer
         self._cpu_capacity = cpu_capacity
@@ -154,7 +154,7 @@
             now,
             is_outgoing=is_outgoing,
             traffic=self.traffic,
-            documents=self._documents,
+            document_budget=self._document_budget,
         )
 
     @callback
--- a/swiftpin/model/store_era.py
+++ b/swiftpin/model/store_era.py
@@ -1,4 +1,4 @@
-"""Era of the store: the number of times it was restored from an older copy."""
+"""Era of the store: the number of times it was restored from a backup."""
 
 from __future__ import annotations
 
--- a/swiftpin/model/store_revision.py
+++ b/swiftpin/model/store_revision.py
@@ -1,4 +1,4 @@
-"""Revisions of the store, ordered across restores from older copies.
+"""Revisions of the store, ordered across restores from backups.
 
 A restore resets the store to an older revision, and the store then assigns the later
 numbers again. Each restore increments the era. A revision combines both in one integer
