--- a/swiftpin/keyranges/assignment.py
+++ b/swiftpin/keyranges/assignment.py
@@ -65,27 +65,27 @@
         """Merge neighbouring segments of the same owner.
 
         Return the assignment and the new fences, one per merged segment and at most
-        `most`. Segments that are being moved are left unchanged.
+        `max_merged`. Segments that are being moved are left unchanged.
         """
-        joined: list[Segment] = []
+        merged: list[Segment] = []
         fences: list[int] = []
         for segment in self.segments:
-            last = joined[-1] if joined else None
+            previous = merged[-1] if merged else None
             if (
-                last is None
-                or last.owner != segment.owner
-                or last.former
+                previous is None
+                or previous.owner != segment.owner
+                or previous.former
                 or segment.former
             ):
-                joined.append(segment)
-            elif fences and last.fence == fences[-1]:
-                joined[-1] = replace(last, last=segment.last)
+                merged.append(segment)
+            elif fences and previous.fence == fences[-1]:
+                merged[-1] = replace(previous, last=segment.last)
             elif len(fences) < max_merged:
                 fences.append(next_fence + len(fences))
-                joined[-1] = replace(last, last=segment.last, fence=fences[-1])
+                merged[-1] = replace(previous, last=segment.last, fence=fences[-1])
             else:
-                joined.append(segment)
-        return replace(self, segments=tuple(joined)), fences
+                merged.append(segment)
+        return replace(self, segments=tuple(merged)), fences
 
     def with_replaced(self, old: Segment, new: Segment) -> Assignment:
         """Return the assignment with a segment replaced, if it still contains it."""
@@ -156,13 +156,13 @@
 
 def encode_assignment(assignment: Assignment) -> dict[str, Any]:
     """Return the record's content; rows refer to targets by their index."""
-    numbers: dict[str, int] = {"": 0}
+    indexes: dict[str, int] = {"": 0}
     rows = []
     for segment in assignment.segments:
-        owner = numbers.setdefault(segment.owner, len(numbers))
-        former = numbers.setdefault(segment.former, len(numbers))
+        owner = indexes.setdefault(segment.owner, len(indexes))
+        former = indexes.setdefault(segment.former, len(indexes))
         rows.append([segment.first, owner, segment.fence, former])
-    content: dict[str, Any] = {"targets": list(numbers), "rows": rows}
+    content: dict[str, Any] = {"targets": list(indexes), "rows": rows}
     if assignment.max_hold is not None:
         content[ATTR_MAX_HOLD] = round(assignment.max_hold * MILLISECONDS_PER_SECOND)
     return content
@@ -188,7 +188,7 @@
 
 
 def _decode_row(row: object, names: list[str]) -> Segment:
-    """Return the segment in a row, with its first key as its last one."""
+    """Return the segment in a row; its last key is a placeholder."""
     values = read_list(row, "a row")
     if len(values) != ROW_LENGTH:
         raise FieldError("a row has the wrong number of values")
@@ -205,7 +205,7 @@
 
 
 def _fill_last_keys(starts: list[Segment]) -> tuple[Segment, ...]:
-    """Extend each segment to the next one; raise if they don't cover all keys."""
+    """Return the segments with their last keys; raise if a key isn't covered once."""
     firsts = [segment.first for segment in starts]
     if not firsts or firsts[0] != 0 or firsts != sorted(set(firsts)):
         raise FieldError("the rows do not cover each key exactly once")
--- a/swiftpin/keyranges/election_rules.py
+++ b/swiftpin/keyranges/election_rules.py
@@ -30,11 +30,12 @@
 holder. In a fleet of hundreds, all instances start to read when a holder is lost."""
 
 SUFFICIENT_CPU_CAPACITY: Final = 1.5
-"""Strength, in standard cores, that is sufficient to assign the keys of hundreds of
+"""CPU capacity, in standard cores, that is sufficient to assign the keys of hundreds of
 targets."""
 
 FIRST_ELECTION_DELAY_PER_CORE: Final = 1.0
-"""Seconds of delay per core below `SUFFICIENT_STRENGTH`, if there is no record yet."""
+"""Seconds of delay per core below `SUFFICIENT_CPU_CAPACITY` while there is no
+record."""
 
 ELECTION_DELAY_PER_RANK: Final = 0.03
 """Seconds for each stronger member: a read and a write of the store."""
@@ -121,9 +122,9 @@
 
     Assigning keys to hundreds of targets takes most of a core. The record lists its
     members strongest first; without a record, the delay depends on the instance's own
-    strength. An instance that is not a member lets all members poll first. Otherwise,
-    with many such instances, the first of them to poll would acquire each lease that is
-    given up, be overloaded and give it up again.
+    CPU capacity. An instance that is not a member lets all members poll first.
+    Otherwise, with many such instances, the first of them to poll would acquire each
+    lease that is given up, be overloaded and give it up again.
     """
     record = view.record
     if record is None:
--- a/swiftpin/keyranges/hold_times.py
+++ b/swiftpin/keyranges/hold_times.py
@@ -63,8 +63,8 @@
         self, previous_segment_count: int, segment_count: int, now: float
     ) -> float:
         """Return the limit for a record that is about to be written."""
-        wanted = regular_hold(max(previous_segment_count, segment_count))
-        may_be_long = wanted > MIN_REGULAR_HOLD or now < self._long_grants_until
+        required_hold = regular_hold(max(previous_segment_count, segment_count))
+        may_be_long = required_hold > MIN_REGULAR_HOLD or now < self._long_grants_until
         return min(
             MAX_REGULAR_HOLD if may_be_long else MIN_REGULAR_HOLD, self._max_hold
         )
--- a/swiftpin/keyranges/lease_election.py
+++ b/swiftpin/keyranges/lease_election.py
@@ -242,8 +242,8 @@
             return LEASE_RENEW_INTERVAL
         # While votes extend the lease, a delay does no harm, and each attempt makes two
         # calls to an unavailable store: 88 calls in an outage of 8 s.
-        runs_on_votes = suspend_aware_now() >= self.valid_until
-        return RELAXED_POLL_INTERVAL if runs_on_votes else RENEW_RETRY_DELAY
+        relies_on_votes = suspend_aware_now() >= self.valid_until
+        return RELAXED_POLL_INTERVAL if relies_on_votes else RENEW_RETRY_DELAY
 
     async def _async_poll(self, now: float) -> float:
         """Read the lease and acquire it if it is free; return the seconds to wait."""
--- a/swiftpin/keyranges/lease_record.py
+++ b/swiftpin/keyranges/lease_record.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LeaseRecord:
-    """The holder of the lease, which assigns keys."""
+    """Content of the lease record; the holder of the lease assigns keys."""
 
     holder: str
     """Incarnation that holds the lease; empty if it was given up."""
--- a/swiftpin/keyranges/range_assigner.py
+++ b/swiftpin/keyranges/range_assigner.py
@@ -160,9 +160,9 @@
     @callback
     def _usual_hold(self) -> float:
         """Return the duration of a grant to a target that answers, in seconds."""
-        present = self._state.current
+        current = self._state.current
         return self._hold_limit.next_hold(
-            len(present.segments), present.max_hold, suspend_aware_now()
+            len(current.segments), current.max_hold, suspend_aware_now()
         )
 
     # Planning.
--- a/tests/keyranges/targets.py
+++ b/tests/keyranges/targets.py
@@ -23,7 +23,7 @@
     )
 
 
-KEYED = ServiceSpec(
+KEYED_SERVICE = ServiceSpec(
     name="desk", is_keyed=True, health_path="/health", max_connections=100, warmup=3.0
 )
 """Spec of the service used in these tests."""
--- a/tests/keyranges/test_assignment.py
+++ b/tests/keyranges/test_assignment.py
@@ -78,11 +78,11 @@
         )
         + after_move.segments[3:]
     )
-    joined, fences = after_return.with_merged_neighbours(90, 10)
+    merged, fences = after_return.with_merged_neighbours(90, 10)
     assert fences == [90]
-    assert covered_keys(joined) == list(range(KEY_COUNT))
-    assert joined.segments[0].last == KEY_COUNT // 4 - 1
-    assert joined.segments[0].fence == 90
+    assert covered_keys(merged) == list(range(KEY_COUNT))
+    assert merged.segments[0].last == KEY_COUNT // 4 - 1
+    assert merged.segments[0].fence == 90
 
 
 def test_record_contains_the_longest_grant(assignment: Assignment) -> None:
@@ -111,14 +111,14 @@
     """A key must not stay without an owner forever.
 
     A move finished while a plan that still contained it was being recorded. The plan
-    then replaced the newer state.
+    used to replace the newer state.
     """
     moving = assignment.with_moves([Move(first=0, last=9, source="a", to="c")], 50)
     planned = moving.with_moves([Move(first=20, last=29, source="a", to="b")], 60)
-    ended = moving.with_replaced(
+    finished = moving.with_replaced(
         moving.segments[0], replace(moving.segments[0], former="")
     )
-    after = planned.without_finished_moves(ended)
+    after = planned.without_finished_moves(finished)
     assert after.segment_of(5).former == ""
     assert after.segment_of(25).former == "a"
     assert planned.without_finished_moves(moving) == planned
--- a/tests/keyranges/test_assignment_loader.py
+++ b/tests/keyranges/test_assignment_loader.py
@@ -24,7 +24,7 @@
 from swiftpin.store_errors import ObjectMissingError
 from tests.keyranges.targets import make_target
 
-LONGEST = 10.0
+MAX_HOLD = 10.0
 
 
 class FakeRecord:
@@ -36,7 +36,7 @@
         self.errors: list[Exception] = []
         self.assignment: Assignment | None = None
 
-    async def async_take_over(self, take_fence: Callable[[], int]) -> Assignment:
+    async def async_take_over(self, allocate_fence: Callable[[], int]) -> Assignment:
         """Return the assignment."""
         if self.errors:
             raise self.errors.pop()
@@ -94,12 +94,12 @@
         granter=granter,
         sessions=sessions,
         directory=directory,
-        hold_limit=HoldLimit(LONGEST),
+        hold_limit=HoldLimit(MAX_HOLD),
         term=1,
     )
 
 
-@pytest.mark.parametrize(("recorded", "hold"), [(5.9, 5.9), (None, LONGEST)])
+@pytest.mark.parametrize(("recorded", "hold"), [(5.9, 5.9), (None, MAX_HOLD)])
 async def test_successor_waits_for_the_recorded_hold(
     record: FakeRecord,
     sessions: TargetSessions,
@@ -110,8 +110,8 @@
     """Two targets must not hold the same keys after a takeover.
 
     The previous assigner sent long grants and then merged many segments into a few. Its
-    successor derived the duration of the grants from the number of segments and so
-    considered them expired too early.
+    successor used to derive the duration of the grants from the number of segments, so
+    it considered them expired too early.
     """
     record.assignment = Assignment(
         segments=(Segment(first=0, last=65535, owner="b@1", fence=5, former="a@1"),),
--- a/tests/keyranges/test_assignment_state.py
+++ b/tests/keyranges/test_assignment_state.py
@@ -29,16 +29,16 @@
     assert state.involved_targets() == {"a", "b", "c"}
 
 
-def test_split_segment_is_not_unchanged(state: AssignmentState) -> None:
+def test_split_segment_counts_as_changed(state: AssignmentState) -> None:
     """Two targets must not hold the same keys.
 
     Part of a segment was moved away just before a renewal of the segment was sent. The
-    renewal would have granted that part again.
+    renewal would grant that part again.
     """
     before = state.current.segments[0]
     assert state.is_unchanged(before)
-    cut = Move(first=100, last=200, source="a", to="b")
-    state.assignment = state.current.with_moves([cut], 7)
+    split = Move(first=100, last=200, source="a", to="b")
+    state.assignment = state.current.with_moves([split], 7)
     assert not state.is_unchanged(before)
 
 
--- a/tests/keyranges/test_election_rules.py
+++ b/tests/keyranges/test_election_rules.py
@@ -32,7 +32,7 @@
 EXPIRED_AT = 100.0 + LEASE_TIME + LEASE_MARGIN + 0.01
 
 
-def test_member_waits_until_the_lease_has_run_out() -> None:
+def test_member_waits_until_the_lease_has_expired() -> None:
     """The margin covers clock drift."""
     assert not is_free(VIEW, "second", EXPIRED_AT - 0.02)
     assert is_free(VIEW, "second", EXPIRED_AT)
@@ -73,7 +73,7 @@
 
 
 def test_strong_instance_goes_first_without_a_record() -> None:
-    """Without a record the delay depends on the instance's own strength."""
+    """Without a record the delay depends on the CPU capacity."""
     view = replace(VIEW, record=None)
     assert election_delay(view, "a", 2.0) == 0.0
     assert election_delay(view, "b", 0.5) == pytest.approx(1.0)
--- a/tests/keyranges/test_fences.py
+++ b/tests/keyranges/test_fences.py
@@ -9,7 +9,7 @@
     """A target must not accept keys under a fence lower than another target's.
 
     The assigner of a service's keys was restarted in the same term, and each assigner
-    counted its fences from the start of the term.
+    used to count its fences from the start of the term.
     """
     fences = Fences()
     fences.begin_term(3)
@@ -32,7 +32,7 @@
     """Targets must not refuse the grants of a successor.
 
     A lease holder used more fences than a term has, so its successor's fences were
-    lower. Nothing noticed that the term's fences ran out.
+    lower. Nothing used to detect that a term's fences run out.
     """
     fences = Fences()
     fences.begin_term(3)
--- a/tests/keyranges/test_hold_times.py
+++ b/tests/keyranges/test_hold_times.py
@@ -30,8 +30,8 @@
     """Two targets must not hold the same keys after a takeover.
 
     A service had many segments and so the longest grants. They were merged into a few,
-    and the assigner ended right away. Its successor derived the duration of the grants
-    from the few segments it found, and so waited too briefly.
+    and the assigner ended right away. Its successor used to derive the duration of the
+    grants from the few segments it found, so it waited too briefly.
     """
     now = 100.0
     granted_hold = limit.next_hold(MANY_SEGMENTS, MAX_REGULAR_HOLD, now)
--- a/tests/keyranges/test_late_records.py
+++ b/tests/keyranges/test_late_records.py
@@ -34,10 +34,10 @@
     KeyGrant,
     TargetControl,
 )
-from tests.keyranges.targets import KEYED, make_target
+from tests.keyranges.targets import KEYED_SERVICE, make_target
 
 MOVE = Move(first=0, last=99, source="a", to="b")
-REST = Segment(first=100, last=65535, owner="b", fence=5)
+OTHER_KEYS = Segment(first=100, last=65535, owner="b", fence=5)
 
 
 class LateStore:
@@ -50,7 +50,7 @@
         self._late_writes: list[tuple[object, int | None]] = []
         self.era = StoreEra()
 
-    async def async_get(self, kind: str, name: str, **rest: object) -> PlatformObject:
+    async def async_get(self, kind: str, name: str, **kwargs: object) -> PlatformObject:
         """Return the record."""
         return PlatformObject(
             name=name,
@@ -60,7 +60,12 @@
         )
 
     async def async_replace(
-        self, kind: str, name: str, content: object, revision: int | None, **rest: float
+        self,
+        kind: str,
+        name: str,
+        content: object,
+        revision: int | None,
+        **kwargs: float,
     ) -> int:
         """Replace the record, or delay the write without an answer."""
         if self.delays_writes:
@@ -93,7 +98,7 @@
         self.granted_by_target: dict[str, list[int]] = {"a": [], "b": []}
 
     async def async_grant(
-        self, address: str, target_id: str, call: GrantCall, **rest: object
+        self, address: str, target_id: str, call: GrantCall, **kwargs: object
     ) -> None:
         """Accept or refuse a grant; only grants of the first keys are recorded."""
         fence = call.fence_over(1)
@@ -105,7 +110,7 @@
         self.granted_by_target[target_id].append(fence)
 
     async def async_release(
-        self, address: str, target_id: str, grant: KeyGrant, **rest: object
+        self, address: str, target_id: str, grant: KeyGrant, **kwargs: object
     ) -> str:
         """Release keys."""
         seen = self.highest_fence_by_target.get(target_id, 0)
@@ -117,7 +122,7 @@
 def store_fixture() -> LateStore:
     """Return a store whose record assigns the first keys to one target."""
     first = Segment(first=0, last=99, owner="a", fence=5)
-    return LateStore(Assignment(segments=(first, REST)))
+    return LateStore(Assignment(segments=(first, OTHER_KEYS)))
 
 
 @pytest.fixture(name="targets")
@@ -152,7 +157,7 @@
         on_map=lambda key_map: None,
         count_members=lambda: 1,
         longest_request=lambda: 0.0,
-        get_service_spec=lambda: KEYED,
+        get_service_spec=lambda: KEYED_SERVICE,
     )
     await assigner._async_load()
     await async_wait_for_moves(assigner)
@@ -193,9 +198,9 @@
 
     The first assigner gave up on writing a plan without an answer. The second one read
     the record and granted the owner its keys under its own fence, which isn't recorded.
-    Then the store applied the plan, because the takeover had left the record at the
-    expected revision. A third assigner read the plan and moved the keys under the first
-    term's fence.
+    Then the store applied the plan, because a takeover used to leave the record at the
+    revision that late writes expect. A third assigner read the plan and moved the keys
+    under the first term's fence.
     """
     plan(MOVE)
     first = await async_take_over(1, store, targets, directory)
@@ -220,8 +225,8 @@
 
     An assigner gave up on writing a plan without an answer. The owner refused a renewal
     and was granted its keys under a higher fence. Then the store applied the plan, and
-    the next assigner moved the keys under the fence in the plan, because moves kept the
-    fence of the term in which they were planned.
+    the next assigner moved the keys under the fence in the plan, because moves used to
+    keep the fence of the term in which they were planned.
     """
     plan(MOVE)
     first = await async_take_over(1, store, targets, directory)
@@ -245,9 +250,9 @@
 
     An assigner gave up on writing two plans without an answer. The store applied the
     first one, and a successor moved the keys without writing the record itself. Then
-    the store applied the second plan, which didn't include that move, because the
-    takeover had left the record at the expected revision. A third assigner renewed the
-    grant of the former owner.
+    the store applied the second plan, which didn't include that move, because a
+    takeover used to leave the record at the revision that late writes expect. A third
+    assigner renewed the grant of the former owner.
     """
     plan(MOVE)
     first = await async_take_over(1, store, targets, directory)
@@ -274,11 +279,11 @@
 
     An assigner was killed right after it had sent a release. The kernel delivered it
     for another 0.6 s, and requests for the keys arrived until then. The successor's own
-    release found no keys and was answered at once, and the successor waited for the
-    running requests only from the time of the takeover.
+    release found no keys and was answered at once. The wait for the running requests
+    used to start at the takeover.
     """
     moved = Segment(first=0, last=99, owner="b", fence=7, former="a")
-    store = LateStore(Assignment(segments=(moved, REST)))
+    store = LateStore(Assignment(segments=(moved, OTHER_KEYS)))
     started_at = suspend_aware_now()
     await async_take_over(2, store, targets, directory)
     assert targets.granted_by_target["b"]
--- a/tests/keyranges/test_lease_election.py
+++ b/tests/keyranges/test_lease_election.py
@@ -157,7 +157,7 @@
     """Two instances must not assign keys at the same time.
 
     The holder was suspended for longer than its lease, and another instance took over.
-    When the holder resumed, it used a clock that doesn't count suspensions.
+    When the holder resumed, it used to rely on a clock that doesn't count suspensions.
     """
     holder = make_election(store, "a")
     await async_step(holder, clock)
@@ -171,7 +171,7 @@
     """A holder must not give up a lease that it has renewed.
 
     A renewal was written, but its answer was lost. The next attempt met a conflict,
-    which was mistaken for another holder.
+    which used to be mistaken for another holder.
     """
     holder = make_election(store, "a")
     await async_step(holder, clock)
@@ -188,8 +188,8 @@
     """Keys must not lose their owners during a store outage.
 
     The store was unavailable for longer than the lease and the grants last together.
-    The holder stopped renewing grants, although no other instance could acquire the
-    lease.
+    The holder used to stop renewing grants, although no other instance could acquire
+    the lease.
     """
     holder = make_election(store, "a")
     await async_step(holder, clock)
@@ -210,10 +210,10 @@
     await async_step(holder, clock)
     store.is_unavailable = True
     holder.extended_until = clock.now + LEASE_TIME + 2.0
-    soon = await holder._async_renew()
+    retry_delay = await holder._async_renew()
     clock.now += LEASE_TIME + 0.1
     assert holder.is_held(clock.now)
-    assert await holder._async_renew() > 2 * soon
+    assert await holder._async_renew() > 2 * retry_delay
 
 
 async def test_expired_lease_stays_expired_in_its_term(
@@ -222,8 +222,9 @@
     """Keys must not be granted under fences that other targets had before.
 
     The store rejected the holder's calls; its lease expired and its assigner stopped.
-    Then votes arrived again, and a new assigner started in the same term with the same
-    fences. The lease counted as valid again, although others knew that it had expired.
+    When votes arrived later, the lease used to count as valid again, although others
+    knew that it had expired. A new assigner started in the same term with the same
+    fences.
     """
     holder = make_election(store, "a")
     await async_step(holder, clock)
@@ -282,7 +283,7 @@
     """A new member must not take over from a holder that relies on votes.
 
     A renewal listed the new member, but its answer was lost and the store became
-    unavailable. Only members of answered renewals were asked to vote.
+    unavailable. Only members of answered renewals used to be asked to vote.
     """
     holder = make_election(store, "a")
     await async_step(holder, clock)
@@ -313,7 +314,8 @@
     polled first and acquired the lease. It was overloaded and resigned in turn, and so
     on: for 14 s, weak instances assigned keys for 2 s each, although 8 instances that
     were five times as strong were available. The holders of terms 2 to 8 were all
-    non-members. Members were delayed by their rank, but other instances not at all.
+    non-members. Members were delayed by their rank, but non-members used to have no
+    delay.
     """
     holder = make_election(store, "a")
     listed_member, non_member = make_election(store, "b"), make_election(store, "new")
@@ -391,8 +393,8 @@
     """A holder must not give up its own lease.
 
     Its renewal under the next term met a conflict with its own earlier renewal, whose
-    answer had been lost. The recorded term differed from the written one, which was
-    mistaken for another holder's record.
+    answer had been lost. The recorded term differed from the written one, which used to
+    be mistaken for another holder's record.
     """
     holder = make_election(store, "a")
     await async_step(holder, clock)
@@ -410,16 +412,16 @@
     store: FakeStore, clock: Clock
 ) -> None:
     """After a restart of all instances, keys must not wait for a second read."""
-    before = make_election(store, "a")
-    await async_step(before, clock)
-    again = make_election(store, "a", is_eligible=False)
-    running = asyncio.create_task(again.async_run())
+    previous = make_election(store, "a")
+    await async_step(previous, clock)
+    restarted = make_election(store, "a", is_eligible=False)
+    running = asyncio.create_task(restarted.async_run())
     try:
         await asyncio.sleep(0.01)
-        assert not again.is_held(clock.now)
-        again.note_eligible()
+        assert not restarted.is_held(clock.now)
+        restarted.note_eligible()
         await asyncio.sleep(0.01)
-        assert again.is_held(clock.now)
+        assert restarted.is_held(clock.now)
     finally:
         running.cancel()
         await asyncio.gather(running, return_exceptions=True)
@@ -436,6 +438,6 @@
     candidate = make_election(store, "a")
     await async_step(candidate, clock)
     clock.now += LEASE_TIME + LEASE_MARGIN + 0.01
-    pause = await candidate._async_poll(clock.now)
+    poll_delay = await candidate._async_poll(clock.now)
     assert not candidate.is_held(clock.now)
-    assert pause == pytest.approx(2 * ELECTION_DELAY_PER_RANK)
+    assert poll_delay == pytest.approx(2 * ELECTION_DELAY_PER_RANK)
--- a/tests/keyranges/test_range_assigner.py
+++ b/tests/keyranges/test_range_assigner.py
@@ -29,7 +29,7 @@
     KeyGrant,
     TargetControl,
 )
-from tests.keyranges.targets import KEYED, make_target
+from tests.keyranges.targets import KEYED_SERVICE, make_target
 
 
 class SlowStore:
@@ -56,7 +56,7 @@
         self.released_by_target: dict[str, list[int]] = {"a": [], "b": []}
 
     async def async_grant(
-        self, address: str, target_id: str, call: GrantCall, **rest: object
+        self, address: str, target_id: str, call: GrantCall, **kwargs: object
     ) -> None:
         """Accept or refuse a grant."""
         fence = call.fence_over(1)
@@ -65,7 +65,7 @@
         self.granted_by_target[target_id].append(fence)
 
     async def async_release(
-        self, address: str, target_id: str, grant: KeyGrant, **rest: object
+        self, address: str, target_id: str, grant: KeyGrant, **kwargs: object
     ) -> str:
         """Release keys."""
         self.released_by_target[target_id].append(grant.fence)
@@ -103,7 +103,7 @@
         on_map=lambda key_map: None,
         count_members=lambda: 1,
         longest_request=lambda: 1.0,
-        get_service_spec=lambda: KEYED,
+        get_service_spec=lambda: KEYED_SERVICE,
     )
     assigner._state.assignment = Assignment(
         segments=(
@@ -124,7 +124,8 @@
 
     A move was planned and its fence allocated. While the record was being written, the
     owner refused a renewal, because an earlier assigner had used a higher fence, and
-    was granted its keys under a new fence. That one was above the fence of the move.
+    was granted its keys under a newly allocated fence. The move used to keep its older,
+    lower fence.
     """
     move = Move(first=0, last=99, source="a", to="b")
     monkeypatch.setattr(range_assigner_module, "plan_moves", lambda *_, **__: [move])
@@ -162,7 +163,7 @@
     """Keys of a restarted target must not stay unserved until its old grants expire.
 
     A target restarted, and a plan moved its keys to its new life. They were released
-    there first, because the target that answers to the name was mistaken for the
+    there first, because the target that answers to the name used to be mistaken for the
     recorded life or wasn't identified at all.
     """
     directory = assigner._directory
@@ -192,7 +193,7 @@
     """Keys must not lose their owners after a store outage.
 
     The assigner ended during the outage and restarted at its end. Its first list of
-    targets lacked those whose entries had expired, so it planned to move their keys,
+    targets lacked those whose entries had expired. It used to plan moves of their keys,
     and most keys had no owner for 5 s.
     """
     directory = assigner._directory
--- a/tests/keyranges/test_restored_lease.py
+++ b/tests/keyranges/test_restored_lease.py
@@ -65,10 +65,10 @@
 
     def _check_connection(self) -> None:
         if self.is_disconnected:
-            raise StoreUnavailableError("cut off")
+            raise StoreUnavailableError("disconnected")
         self.era.observe(era_of(self.store.revision))
 
-    async def async_get(self, kind: str, name: str, **rest: object) -> PlatformObject:
+    async def async_get(self, kind: str, name: str, **kwargs: object) -> PlatformObject:
         """Return the record."""
         self._check_connection()
         if self.store.content is None:
@@ -81,7 +81,7 @@
         )
 
     async def async_create(
-        self, kind: str, name: str, content: object, **rest: object
+        self, kind: str, name: str, content: object, **kwargs: object
     ) -> int:
         """Create the record."""
         self._check_connection()
@@ -90,7 +90,7 @@
         return self.store.write(content)
 
     async def async_replace(
-        self, kind: str, name: str, content: object, revision: int, **rest: object
+        self, kind: str, name: str, content: object, revision: int, **kwargs: object
     ) -> int:
         """Replace the record if it is at the given revision."""
         self._check_connection()
@@ -166,8 +166,8 @@
     store: Store, clock: Clock
 ) -> None:
     """Otherwise the holder yields to a restored record, and nobody assigns keys."""
-    first, second, newer = await hand_over(store, clock)
-    store.restore(newer)
+    first, second, lost_writes = await hand_over(store, clock)
+    store.restore(lost_writes)
     for _ in range(3):
         await step(second, clock)
         await step(first, clock)
@@ -182,8 +182,8 @@
     store: Store, clock: Clock
 ) -> None:
     """Otherwise targets refuse the next holder's grants, as its fences are too low."""
-    _, second, newer = await hand_over(store, clock)
-    store.restore(newer)
+    _, second, lost_writes = await hand_over(store, clock)
+    store.restore(lost_writes)
     other = await start_and_wait(store, clock)
     assert other.is_held(clock.now)
     assert other.term > second.term
@@ -194,9 +194,9 @@
     store: Store, clock: Clock
 ) -> None:
     """In a new term, assigners would load a restored assignment that lacks a move."""
-    _, second, newer = await hand_over(store, clock)
+    _, second, lost_writes = await hand_over(store, clock)
     before = second.term
-    store.restore(newer)
+    store.restore(lost_writes)
     for _ in range(3):
         await step(second, clock)
         clock.now += 0.1
@@ -208,13 +208,13 @@
     store: Store, clock: Clock
 ) -> None:
     """The backup names the instance's earlier incarnation as the holder."""
-    _, second, newer = await hand_over(store, clock)
-    store.restore(newer)
-    again = start(store, "a", life=2)[0]
+    _, second, lost_writes = await hand_over(store, clock)
+    store.restore(lost_writes)
+    restarted = start(store, "a", life=2)[0]
     for _ in range(3):
-        await step(again, clock)
+        await step(restarted, clock)
         clock.now += 0.1
-    assert not again.is_held(clock.now)
+    assert not restarted.is_held(clock.now)
     assert second.is_held(clock.now)
 
 
@@ -222,8 +222,8 @@
     store: Store, clock: Clock
 ) -> None:
     """A restored record must not keep all instances from the lease forever."""
-    _, _, newer = await hand_over(store, clock)
-    store.restore(newer)
+    _, _, lost_writes = await hand_over(store, clock)
+    store.restore(lost_writes)
     other = start(store, "c")[0]
     await step(other, clock)
     clock.now += MAX_EXPIRY - 0.1
@@ -240,8 +240,8 @@
     store: Store, clock: Clock
 ) -> None:
     """Two instances must not take the lease from each other after a restore."""
-    _, second, newer = await hand_over(store, clock)
-    store.restore(newer)
+    _, second, lost_writes = await hand_over(store, clock)
+    store.restore(lost_writes)
     other = await start_and_wait(store, clock)
     for _ in range(2):
         await step(second, clock)
