--- a/swiftpin/keyranges/election_rules.py
+++ b/swiftpin/keyranges/election_rules.py
@@ -100,11 +100,11 @@
 
 @callback
 def poll_interval(
-    view: LeaseView, name: str, cpu_capacity: float, *, is_linked: bool
+    view: LeaseView, name: str, cpu_capacity: float, *, has_live_links: bool
 ) -> float:
     """Return the seconds between two reads of a lease whose holder is not heard.
 
-    `is_linked` is True while any other instance is heard.
+    `has_live_links` is True while any other instance is heard.
     """
     record = view.record
     if record is None:
@@ -113,7 +113,9 @@
         return POLL_INTERVAL
     if record.holder.partition("/")[0] == name:
         return POLL_INTERVAL
-    return LINKED_NON_MEMBER_POLL_INTERVAL if is_linked else NON_MEMBER_POLL_INTERVAL
+    return (
+        LINKED_NON_MEMBER_POLL_INTERVAL if has_live_links else NON_MEMBER_POLL_INTERVAL
+    )
 
 
 @callback
--- a/swiftpin/keyranges/lease_election.py
+++ b/swiftpin/keyranges/lease_election.py
@@ -63,8 +63,8 @@
         rng: Random,
         cpu_capacity: float,
         first_start: bool,
-        is_holder_heard: Callable[[int], bool],
-        is_linked: Callable[[], bool],
+        is_holder_alive: Callable[[int], bool],
+        has_live_links: Callable[[], bool],
     ) -> None:
         self.valid_until = 0.0
         """Time until which this holder's lease is valid without votes."""
@@ -97,10 +97,10 @@
         self._cpu_capacity = cpu_capacity
         self._first_start = first_start
         self._free_since: float | None = None
-        self._is_holder_heard = is_holder_heard
+        self._is_holder_alive = is_holder_alive
         """Whether another instance claims the lease in a given or later term."""
 
-        self._is_linked = is_linked
+        self._has_live_links = has_live_links
         self._held_term = 0
         """Last term in which this instance acquired the lease."""
 
@@ -247,7 +247,7 @@
 
     async def _async_poll(self, now: float) -> float:
         """Read the lease and acquire it if it is free; return the seconds to wait."""
-        if self._is_holder_heard(self.term):
+        if self._is_holder_alive(self.term):
             return RELAXED_POLL_INTERVAL * self._rng.uniform(0.7, 1.0)
         try:
             await self._store.async_read()
@@ -273,7 +273,10 @@
     def _poll_interval(self) -> float:
         """Return the seconds until the next read, without jitter."""
         return poll_interval(
-            self._view(), self._name, self._cpu_capacity, is_linked=self._is_linked()
+            self._view(),
+            self._name,
+            self._cpu_capacity,
+            has_live_links=self._has_live_links(),
         )
 
     def _view(self) -> LeaseView:
--- a/swiftpin/router/app.py
+++ b/swiftpin/router/app.py
@@ -92,8 +92,8 @@
             rng=Random(incarnation),
             cpu_capacity=settings.cpu_capacity,
             first_start=settings.first_start,
-            is_holder_heard=self._is_holder_alive,
-            is_linked=self._has_live_links,
+            is_holder_alive=self._is_holder_alive,
+            has_live_links=self._has_live_links,
         )
         self._fleet = FleetCoordinator(
             incarnation=incarnation,
--- a/tests/keyranges/test_election_rules.py
+++ b/tests/keyranges/test_election_rules.py
@@ -81,16 +81,16 @@
 
 def test_read_rate_of_a_lost_lease_is_limited_in_large_fleets() -> None:
     """Otherwise a large fleet reads a lost lease four times per second and instance."""
-    assert poll_interval(VIEW, "second", 1.0, is_linked=True) == POLL_INTERVAL
-    assert 300 / poll_interval(VIEW, "other", 1.0, is_linked=True) < 200
-    assert poll_interval(VIEW, "other", 1.0, is_linked=False) < 1.0
+    assert poll_interval(VIEW, "second", 1.0, has_live_links=True) == POLL_INTERVAL
+    assert 300 / poll_interval(VIEW, "other", 1.0, has_live_links=True) < 200
+    assert poll_interval(VIEW, "other", 1.0, has_live_links=False) < 1.0
 
 
 def test_strong_instances_of_a_new_fleet_poll_often() -> None:
     """There are no members yet, and weak instances are delayed in any case."""
     view = replace(VIEW, record=None)
-    assert poll_interval(view, "other", 2.0, is_linked=True) == POLL_INTERVAL
-    assert POLL_INTERVAL < poll_interval(view, "other", 0.5, is_linked=True) < 1.0
+    assert poll_interval(view, "other", 2.0, has_live_links=True) == POLL_INTERVAL
+    assert POLL_INTERVAL < poll_interval(view, "other", 0.5, has_live_links=True) < 1.0
 
 
 @pytest.mark.parametrize("name", ["strong", "second", "other"])
--- a/tests/keyranges/test_late_renewals.py
+++ b/tests/keyranges/test_late_renewals.py
@@ -115,8 +115,8 @@
         rng=Random(1),
         cpu_capacity=2.0,
         first_start=True,
-        is_holder_heard=lambda holder: False,
-        is_linked=lambda: False,
+        is_holder_alive=lambda holder: False,
+        has_live_links=lambda: False,
     )
     lease.note_eligible()
     await lease._async_poll(now)
@@ -150,8 +150,8 @@
         rng=Random(1),
         cpu_capacity=2.0,
         first_start=True,
-        is_holder_heard=lambda holder: False,
-        is_linked=lambda: False,
+        is_holder_alive=lambda holder: False,
+        has_live_links=lambda: False,
     )
     services = {"desk": SimpleNamespace(health_path="/health")}
     configuration = cast(Configuration, SimpleNamespace(services_by_name=services))
--- a/tests/keyranges/test_lease_election.py
+++ b/tests/keyranges/test_lease_election.py
@@ -116,8 +116,8 @@
         rng=Random(1),
         cpu_capacity=2.0,
         first_start=True,
-        is_holder_heard=lambda holder: False,
-        is_linked=lambda: False,
+        is_holder_alive=lambda holder: False,
+        has_live_links=lambda: False,
     )
     if is_eligible:
         election.note_eligible()
--- a/tests/keyranges/test_restored_lease.py
+++ b/tests/keyranges/test_restored_lease.py
@@ -117,8 +117,8 @@
         rng=Random(name),
         cpu_capacity=2.0,
         first_start=life == 1,
-        is_holder_heard=lambda term: False,
-        is_linked=lambda: False,
+        is_holder_alive=lambda term: False,
+        has_live_links=lambda: False,
     )
     election.members = NAMES
     election.note_eligible()
