--- a/swiftpin/keyranges/mover.py
+++ b/swiftpin/keyranges/mover.py
@@ -37,11 +37,11 @@
     broken link, while other instances still reach the target. Nor is an entry in the
     store: an entry from another writer may name any address.
 
-    A later life of the former owner proves that the earlier one has ended, but it may
-    hold the keys itself: grants under new fences go to whichever process answers under
-    the name, and may have reached the later life before its start was known here. So
-    the release is sent to the later life. Its answer proves that neither life holds
-    the keys, and is immediate if the later life holds none.
+    A later life of the former owner proves that the earlier one has terminated, but it
+    may hold the keys itself: grants under new fences go to whichever process answers
+    under the name, and may have reached the later life before its start was known
+    here. So the release is sent to the later life. Its answer proves that neither life
+    holds the keys, and is immediate if the later life holds none.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         """
         session = self._sessions.get_or_create(segment.former_owner)
         async with session.renewal_lock:
-            # Renewals that were in progress when the record changed have ended.
+            # Renewals that were in progress when the record changed have finished.
             held_until = session.held_until
         grant = KeyGrant(
             first=segment.first, last=segment.last, fence=self._granter.allocate_fence()
@@ -143,8 +143,8 @@
     ) -> None:
         """Wait for requests that may still run after an unanswered release.
 
-        A target answers a release once the requests for its keys have ended. A repeated
-        release finds no keys and is answered immediately, while requests from before
+        A target answers a release once the requests for its keys have finished. A
+        repeated release finds no keys and is answered immediately, while requests from before
         the first one may still run. They end by their deadline or when the grant
         expires.
         """
--- a/swiftpin/keyranges/plan_merges.py
+++ b/swiftpin/keyranges/plan_merges.py
@@ -105,7 +105,7 @@
             continue
         neighbour_owners = {before.owner, after.owner}
         if segment.owner in neighbour_owners or not neighbour_owners <= shares.keys():
-            # Either it will be merged anyway, or a neighbour's owner is losing its keys.
+            # It will be merged anyway, or a neighbour's owner is losing its keys.
             continue
         low, high = bisect_left(keys, segment.first), bisect_right(keys, segment.last)
         yield MergeCandidate(
--- a/swiftpin/keyranges/planner.py
+++ b/swiftpin/keyranges/planner.py
@@ -37,7 +37,7 @@
     *,
     limited_targets: Collection[str] = (),
 ) -> list[Move]:
-    """Return moves that take all keys from lost targets and then balance the load.
+    """Return moves of all keys of lost targets and moves that balance the load.
 
     `capacities_by_target` holds the targets that may own keys and the requests per
     second that each can handle; `bounds_by_target` holds the lower and upper bound of
--- a/swiftpin/keyranges/target_session.py
+++ b/swiftpin/keyranges/target_session.py
@@ -47,7 +47,7 @@
         """Time by which all grants sent so far have expired on the target's clock."""
 
         self.is_gone = False
-        """Whether this target has ended, since another one answered at its address."""
+        """Whether the target has terminated: another one answered at its address."""
 
         self.grant_connection: int | None = None
         """Number of the connection that carried the last grant. Grants prefer it, since
--- a/tests/keyranges/test_granter.py
+++ b/tests/keyranges/test_granter.py
@@ -115,8 +115,8 @@
 ) -> None:
     """Guards against a recovered target whose grant expires before the next renewal.
 
-    The first grant after a failure is short; once it is answered, a grant of the regular
-    length must follow immediately.
+    The first grant after a failure is short; once it is answered, a grant of the
+    regular length must follow immediately.
     """
     session = sessions.get_or_create("a")
     session.note_failure(suspend_aware_now())
@@ -183,7 +183,7 @@
 ) -> None:
     """Guards against two lives of a target that hold keys under the same fence.
 
-    A target may accept a grant and end before it answers; the next attempt may reach
+    A target may accept a grant and terminate before it answers; the next attempt may reach
     its next life.
     """
     session = sessions.get_or_create("a")
--- a/tests/keyranges/test_late_calls.py
+++ b/tests/keyranges/test_late_calls.py
@@ -142,7 +142,7 @@
     """Guards against granting a key while its former owner still holds it.
 
     Answers to control calls have no id. If a target answers a renewal twice, the second
-    answer must not be taken for the answer to a release on the same connection.
+    answer must not be interpreted as the answer to a release on the same connection.
     """
 
     async def async_serve(
--- a/tests/keyranges/test_mover.py
+++ b/tests/keyranges/test_mover.py
@@ -222,7 +222,8 @@
     """Guards against two targets that hold the same keys.
 
     Another writer may register a later life of a running target at a third target's
-    address. The third target's answer does not prove that the running one has ended.
+    address. The third target's answer does not prove that the running one has
+    terminated.
     """
     add_life(directory, 2, "c:1")
     control.make_error = lambda: TargetReplacedError("c answers at c:1")
--- a/tests/keyranges/test_target_session.py
+++ b/tests/keyranges/test_target_session.py
@@ -7,7 +7,7 @@
 
 
 def test_failures_show_that_a_target_is_lost_but_not_that_it_is_gone() -> None:
-    """Failed calls never prove that a target has ended.
+    """Failed calls never prove that a target has terminated.
 
     A target at its connection limit, or behind a broken link, may still serve other
     instances. So its keys are moved only once its grants have expired.
--- a/tests/keyranges/test_target_sessions.py
+++ b/tests/keyranges/test_target_sessions.py
@@ -45,7 +45,7 @@
     """Guards against two targets that hold the same keys.
 
     Another writer may register a target at a running target's address. Such an entry
-    does not prove that the running target has ended.
+    does not prove that the running target has terminated.
     """
     directory.replaced_ids.add("a@1")
     assert not sessions.get_or_create("a@1").is_gone
