--- a/swiftpin/keyranges/mover.py
+++ b/swiftpin/keyranges/mover.py
@@ -144,8 +144,8 @@
         """Wait for requests that may still run after an unanswered release.
 
         A target answers a release once the requests for its keys have finished. A
-        repeated release finds no keys and is answered immediately, while requests from before
-        the first one may still run. They end by their deadline or when the grant
+        repeated release finds no keys and is answered immediately, while requests from
+        before the first one may still run. They end by their deadline or when the grant
         expires.
         """
         if unconfirmed_release_at is None:
--- a/tests/keyranges/test_granter.py
+++ b/tests/keyranges/test_granter.py
@@ -183,8 +183,8 @@
 ) -> None:
     """Guards against two lives of a target that hold keys under the same fence.
 
-    A target may accept a grant and terminate before it answers; the next attempt may reach
-    its next life.
+    A target may accept a grant and terminate before it answers; the next attempt may
+    reach its next life.
     """
     session = sessions.get_or_create("a")
     control.loses_answers = True
