--- a/swiftpin/keyranges/election_rules.py
+++ b/swiftpin/keyranges/election_rules.py
@@ -15,10 +15,10 @@
 from swiftpin.keyranges.lease_record import LeaseRecord
 
 POLL_INTERVAL: Final = 0.25
-"""Seconds between two reads of the lease while its holder is not heard."""
+"""Seconds between two reads of the lease while its holder isn't known to be alive."""
 
 RELAXED_POLL_INTERVAL: Final = 0.3
-"""Seconds between two checks whether the holder is still heard, and between the renewal
+"""Seconds between two checks whether the holder is still alive, and between the renewal
 attempts of a holder that relies on votes."""
 
 NON_MEMBER_POLL_INTERVAL: Final = 0.75
@@ -26,8 +26,9 @@
 must wait longer before it may acquire the lease."""
 
 LINKED_NON_MEMBER_POLL_INTERVAL: Final = 2.5
-"""Seconds between two such reads while other instances are heard, which report a new
-holder. In a fleet of hundreds, all instances start to read when a holder is lost."""
+"""Seconds between two such reads while there are live links to other instances, which
+report a new holder. In a fleet of hundreds, all instances start to read when a holder
+is lost."""
 
 SUFFICIENT_CPU_CAPACITY: Final = 1.5
 """CPU capacity, in standard cores, that is sufficient to assign the keys of hundreds of
@@ -102,9 +103,9 @@
 def poll_interval(
     view: LeaseView, name: str, cpu_capacity: float, *, has_live_links: bool
 ) -> float:
-    """Return the seconds between two reads of a lease whose holder is not heard.
+    """Return the seconds between two reads while the holder isn't known to be alive.
 
-    `has_live_links` is True while any other instance is heard.
+    `has_live_links` tells whether any other instance is connected.
     """
     record = view.record
     if record is None:
--- a/tests/keyranges/test_lease_election.py
+++ b/tests/keyranges/test_lease_election.py
@@ -106,7 +106,7 @@
 def make_election(
     store: FakeStore, name: str, *, is_eligible: bool = True
 ) -> LeaseElection:
-    """Return the election of a candidate that hears no holder."""
+    """Return the election of a candidate without links to other instances."""
     election = LeaseElection(
         name=name,
         incarnation=f"{name}/1",
