--- a/swiftpin/keyranges/election_rules.py
+++ b/swiftpin/keyranges/election_rules.py
@@ -15,10 +15,10 @@
 from swiftpin.keyranges.lease_record import LeaseRecord
 
 POLL_INTERVAL: Final = 0.25
-"""Seconds between two reads of the lease while its holder is not heard."""
+"""Seconds between two reads of the lease while its holder isn't known to be alive."""
 
 RELAXED_POLL_INTERVAL: Final = 0.3
-"""Seconds between two checks whether the holder is still heard, and between the renewal
+"""Seconds between two checks whether the holder is still alive, and between the renewal
 attempts of a holder that relies on votes."""
 
 NON_MEMBER_POLL_INTERVAL: Final = 0.75
@@ -26,15 +26,17 @@
 must wait longer before it may acquire the lease."""
 
 LINKED_NON_MEMBER_POLL_INTERVAL: Final = 2.5
-"""Seconds between two such reads while other instances are heard, which report a new
-holder. In a fleet of hundreds, all instances start to read when a holder is lost."""
+"""Seconds between two such reads while there are live links to other instances, which
+report a new holder. In a fleet of hundreds, all instances start to read when a holder
+is lost."""
 
 SUFFICIENT_CPU_CAPACITY: Final = 1.5
-"""Strength, in standard cores, that is sufficient to assign the keys of hundreds of
+"""CPU capacity, in standard cores, that is sufficient to assign the keys of hundreds of
 targets."""
 
 FIRST_ELECTION_DELAY_PER_CORE: Final = 1.0
-"""Seconds of delay per core below `SUFFICIENT_STRENGTH`, if there is no record yet."""
+"""Seconds of delay per core below `SUFFICIENT_CPU_CAPACITY` while there is no
+record."""
 
 ELECTION_DELAY_PER_RANK: Final = 0.03
 """Seconds for each stronger member: a read and a write of the store."""
@@ -99,11 +101,11 @@
 
 @callback
 def poll_interval(
-    view: LeaseView, name: str, cpu_capacity: float, *, is_linked: bool
+    view: LeaseView, name: str, cpu_capacity: float, *, has_live_links: bool
 ) -> float:
-    """Return the seconds between two reads of a lease whose holder is not heard.
+    """Return the seconds between two reads while the holder isn't known to be alive.
 
-    `is_linked` is True while any other instance is heard.
+    `has_live_links` tells whether any other instance is connected.
     """
     record = view.record
     if record is None:
@@ -112,7 +114,9 @@
         return POLL_INTERVAL
     if record.holder.partition("/")[0] == name:
         return POLL_INTERVAL
-    return LINKED_NON_MEMBER_POLL_INTERVAL if is_linked else NON_MEMBER_POLL_INTERVAL
+    return (
+        LINKED_NON_MEMBER_POLL_INTERVAL if has_live_links else NON_MEMBER_POLL_INTERVAL
+    )
 
 
 @callback
@@ -121,9 +125,9 @@
 
     Assigning keys to hundreds of targets takes most of a core. The record lists its
     members strongest first; without a record, the delay depends on the instance's own
-    strength. An instance that is not a member lets all members poll first. Otherwise,
-    with many such instances, the first of them to poll would acquire each lease that is
-    given up, be overloaded and give it up again.
+    CPU capacity. An instance that is not a member lets all members poll first.
+    Otherwise, with many such instances, the first of them to poll would acquire each
+    lease that is given up, be overloaded and give it up again.
     """
     record = view.record
     if record is None:
