--- a/swiftpin/keyranges/granter.py
+++ b/swiftpin/keyranges/granter.py
@@ -142,7 +142,7 @@
             last=segment.last,
             hold=hold,
             handover=self.handovers_by_fence.get(segment.fence),
-            fence_over=lambda connection: session.fence_for_connection(
+            fence_for_connection=lambda connection: session.fence_for_connection(
                 connection, segment.fence, self._fences.allocate
             ),
             preferred_connection=session.grant_connection,
--- a/swiftpin/platform/target_control.py
+++ b/swiftpin/platform/target_control.py
@@ -62,7 +62,7 @@
     last: int
     hold: float
     handover: str | None
-    fence_over: Callable[[int], int]
+    fence_for_connection: Callable[[int], int]
     """Returns the fence; called with the number of the connection that the call uses,
     once it is open."""
 
@@ -107,7 +107,7 @@
                 connection = await self._client.async_connection(
                     address, preferred=call.preferred_connection
                 )
-                fence = call.fence_over(connection.number)
+                fence = call.fence_for_connection(connection.number)
                 request = _make_request(
                     address, target_id, PATH_GRANT, _grant_document(call, fence)
                 )
--- a/tests/keyranges/test_grant_renewer.py
+++ b/tests/keyranges/test_grant_renewer.py
@@ -42,7 +42,7 @@
         self.granted_firsts.append(call.first)
         if self.is_refusing:
             raise TargetNotReachedError("refused")
-        call.fence_over(1)
+        call.fence_for_connection(1)
 
 
 @pytest.fixture(name="control")
--- a/tests/keyranges/test_granter.py
+++ b/tests/keyranges/test_granter.py
@@ -54,7 +54,7 @@
         if self.refuses_connections:
             raise TargetNotReachedError("refused")
         self.preferred_connections.append(call.preferred_connection)
-        fence = call.fence_over(self.connection)
+        fence = call.fence_for_connection(self.connection)
         self.fences.append(fence)
         self.holds.append(call.hold)
         await asyncio.sleep(self.delay)
--- a/tests/keyranges/test_late_calls.py
+++ b/tests/keyranges/test_late_calls.py
@@ -172,7 +172,11 @@
     grant = KeyGrant(first=0, last=9, fence=1)
     address = f"{host}:{port}"
     call = GrantCall(
-        first=0, last=9, hold=1.0, handover=None, fence_over=lambda connection: 1
+        first=0,
+        last=9,
+        hold=1.0,
+        handover=None,
+        fence_for_connection=lambda connection: 1,
     )
     await control.async_grant(address, "a", call, limit=1.0)
     with pytest.raises(TargetUnreachableError):
--- a/tests/keyranges/test_late_records.py
+++ b/tests/keyranges/test_late_records.py
@@ -101,7 +101,7 @@
         self, address: str, target_id: str, call: GrantCall, **kwargs: object
     ) -> None:
         """Accept or refuse a grant; only grants of the first keys are recorded."""
-        fence = call.fence_over(1)
+        fence = call.fence_for_connection(1)
         if call.first:
             return
         if fence < self.highest_fence_by_target.get(target_id, 0):
--- a/tests/keyranges/test_range_assigner.py
+++ b/tests/keyranges/test_range_assigner.py
@@ -59,7 +59,7 @@
         self, address: str, target_id: str, call: GrantCall, **kwargs: object
     ) -> None:
         """Accept or refuse a grant."""
-        fence = call.fence_over(1)
+        fence = call.fence_for_connection(1)
         if fence < self.highest_fence_by_target.get(target_id, 0):
             raise GrantRefusedError(target_id)
         self.granted_by_target[target_id].append(fence)
--- a/tests/platform/test_target_control.py
+++ b/tests/platform/test_target_control.py
@@ -124,11 +124,11 @@
             last=9,
             hold=4.4,
             handover=None,
-            fence_over=self._fence_over,
+            fence_for_connection=self._fence_for_connection,
             preferred_connection=preferred,
         )
 
-    def _fence_over(self, connection: int) -> int:
+    def _fence_for_connection(self, connection: int) -> int:
         self.used.append(connection)
         return connection
 
--- a/tests/router/slow_links.py
+++ b/tests/router/slow_links.py
@@ -248,7 +248,9 @@
     now = asyncio.get_running_loop().time()
     ends = []
     for own, other, is_outgoing in ((member, watcher, True), (watcher, member, False)):
-        link = PeerLink(own, now, is_outgoing=is_outgoing, documents=own.documents)
+        link = PeerLink(
+            own, now, is_outgoing=is_outgoing, document_budget=own.documents
+        )
         link.incarnation = link.peer = other.name
         own.links.append(link)
         if is_outgoing:
