--- a/spec/shares/model.py
+++ b/spec/shares/model.py
@@ -10,7 +10,7 @@
 from spec.shares.weakness import ShareWeakness
 from spec.shares.world import (
     LIMIT,
-    MAX_GAP,
+    MAX_SILENT_TICKS,
     NEVER_HEARD,
     REPORT_DELAY,
     SETTLE_TIME,
@@ -63,7 +63,9 @@
         settle_time = SETTLE_TIME - REPORT_DELAY - 1
     else:
         settle_time = SETTLE_TIME
-    is_cut_off = process.silent_ticks > MAX_GAP and not weakness.spends_while_cut_off
+    is_cut_off = (
+        process.silent_ticks > MAX_SILENT_TICKS and not weakness.spends_while_cut_off
+    )
     if is_cut_off or process.connected_ticks < settle_time or not process.member_count:
         return 0
     return LIMIT // process.member_count
@@ -71,7 +73,7 @@
 
 def _tick(weakness: ShareWeakness, world: ShareWorld) -> ShareWorld:
     """Advance time by one tick; the holder reports its count to connected processes."""
-    max_counted_silence = 0 if weakness.ignores_cut_off else MAX_GAP
+    max_counted_silence = 0 if weakness.ignores_cut_off else MAX_SILENT_TICKS
     processes = [_advance(weakness, process) for process in world.processes]
     members = sum(process.silent_ticks <= max_counted_silence for process in processes)
     return ShareWorld(
@@ -87,7 +89,9 @@
     silent_ticks = (
         0 if process.is_linked else min(process.silent_ticks + 1, NEVER_HEARD)
     )
-    was_connected = process.silent_ticks <= MAX_GAP or weakness.spends_while_cut_off
+    was_connected = (
+        process.silent_ticks <= MAX_SILENT_TICKS or weakness.spends_while_cut_off
+    )
     connected_ticks = (
         min(process.connected_ticks + 1, SETTLE_TIME) if was_connected else 0
     )
--- a/spec/shares/world.py
+++ b/spec/shares/world.py
@@ -8,15 +8,15 @@
 WINDOW: Final = 2
 """Ticks per window of the limit."""
 
-MAX_GAP: Final = 1
+MAX_SILENT_TICKS: Final = 1
 """Ticks without contact to a holder after which a process is cut off."""
 
-REPORT_DELAY: Final = MAX_GAP + 1
+REPORT_DELAY: Final = MAX_SILENT_TICKS + 1
 SETTLE_TIME: Final = WINDOW + REPORT_DELAY
 LIMIT: Final = 6
 """Amount that all processes together may spend per window."""
 
-NEVER_HEARD: Final = MAX_GAP + 1
+NEVER_HEARD: Final = MAX_SILENT_TICKS + 1
 
 
 class Process(NamedTuple):
--- a/tests/fleet/test_frame_stream.py
+++ b/tests/fleet/test_frame_stream.py
@@ -17,15 +17,15 @@
 @pytest.fixture(name="ends")
 async def ends_fixture() -> AsyncIterator[tuple[FrameStream, asyncio.StreamWriter]]:
     """Yield the stream of the receiving side and the writer of the sending side."""
-    arrived: asyncio.Queue[FrameStream] = asyncio.Queue()
+    accepted: asyncio.Queue[FrameStream] = asyncio.Queue()
 
-    def take(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        arrived.put_nowait(FrameStream(reader, writer))
+    def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        accepted.put_nowait(FrameStream(reader, writer))
 
-    server = await asyncio.start_server(take, "127.0.0.1", 0)
+    server = await asyncio.start_server(accept, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()
     _, writer = await asyncio.open_connection(host, port)
-    stream = await arrived.get()
+    stream = await accepted.get()
     yield stream, writer
     writer.close()
     stream.close()
@@ -42,17 +42,17 @@
     await sender.send_message(pb.Frame())
     assert await stream.recv_message() == HELLO
     assert await stream.recv_message() == pb.Frame()
-    piece = len(ENCODED).to_bytes(4, "big") + ENCODED
-    writer.write(piece[:6])
+    encoded_frame = len(ENCODED).to_bytes(4, "big") + ENCODED
+    writer.write(encoded_frame[:6])
     await asyncio.sleep(0)
-    writer.write(piece[6:])
+    writer.write(encoded_frame[6:])
     assert await stream.recv_message() == HELLO
     writer.close()
     assert await stream.recv_message() is None
 
 
 @pytest.mark.parametrize(
-    "written",
+    "data",
     [
         b"\0\0",
         len(ENCODED).to_bytes(4, "big") + ENCODED[:-1],
@@ -62,11 +62,11 @@
     ids=["cut length", "cut frame", "too long", "no frame"],
 )
 async def test_invalid_frame_is_an_error(
-    ends: tuple[FrameStream, asyncio.StreamWriter], written: bytes
+    ends: tuple[FrameStream, asyncio.StreamWriter], data: bytes
 ) -> None:
     """Guards against truncated or invalid data accepted as a frame."""
     stream, writer = ends
-    writer.write(written)
+    writer.write(data)
     writer.close()
     with pytest.raises(FrameError):
         await stream.recv_message()
--- a/tests/fleet/test_link.py
+++ b/tests/fleet/test_link.py
@@ -15,11 +15,11 @@
 )
 from swiftpin.fleet.proto import fleet_pb2 as pb
 
-SECONDS = 2.0
+RUN_SECONDS = 2.0
 """Seconds for which a test runs a link."""
 
 
-class CountingStream:
+class RecordingStream:
     """Records sent heartbeats and regularly receives empty frames."""
 
     def __init__(self) -> None:
@@ -52,14 +52,14 @@
         return pb.Item(heartbeat=pb.Heartbeat(**self.state))
 
 
-async def _async_watch(handler: Handler, *, busy: bool) -> list[tuple[float, Item]]:
+async def _async_run_link(handler: Handler, *, busy: bool) -> list[tuple[float, Item]]:
     """Run a link and return its heartbeats; a busy link also sends other frames."""
     loop = asyncio.get_running_loop()
-    stream = CountingStream()
+    stream = RecordingStream()
     link = PeerLink(handler, loop.time(), is_outgoing=True)
     task = asyncio.create_task(link.async_run(stream))
-    until = loop.time() + SECONDS
-    while loop.time() < until:
+    ends_at = loop.time() + RUN_SECONDS
+    while loop.time() < ends_at:
         await asyncio.sleep(HEARTBEAT_INTERVAL / 4)
         if busy:
             link.send(pb.Item(end=pb.PermitEnd(id=1)))
@@ -71,8 +71,8 @@
 
 async def test_idle_link_sends_regular_heartbeats() -> None:
     """A link without other frames sends heartbeats at the regular interval."""
-    heartbeats = await _async_watch(Handler(), busy=False)
-    assert len(heartbeats) >= SECONDS / HEARTBEAT_INTERVAL / 2
+    heartbeats = await _async_run_link(Handler(), busy=False)
+    assert len(heartbeats) >= RUN_SECONDS / HEARTBEAT_INTERVAL / 2
 
 
 async def test_busy_link_sends_fewer_heartbeats() -> None:
@@ -81,8 +81,8 @@
     With 72 instances, each linked to a dozen others, every link sent three heartbeats
     per second, even if other frames showed that it was alive.
     """
-    heartbeats = await _async_watch(Handler(), busy=True)
-    assert 2 <= len(heartbeats) <= 1 + SECONDS / MAX_HEARTBEAT_INTERVAL
+    heartbeats = await _async_run_link(Handler(), busy=True)
+    assert 2 <= len(heartbeats) <= 1 + RUN_SECONDS / MAX_HEARTBEAT_INTERVAL
 
 
 @pytest.mark.parametrize("state", [{"leads": True}, {"store_lost": True}])
@@ -92,8 +92,8 @@
     """Candidates wait for the assigner's heartbeats, and it for their votes."""
     handler = Handler()
     handler.state = state
-    heartbeats = await _async_watch(handler, busy=True)
-    assert len(heartbeats) >= SECONDS / HEARTBEAT_INTERVAL / 2
+    heartbeats = await _async_run_link(handler, busy=True)
+    assert len(heartbeats) >= RUN_SECONDS / HEARTBEAT_INTERVAL / 2
 
 
 def test_changes_are_sent_immediately() -> None:
--- a/tests/fleet/test_links.py
+++ b/tests/fleet/test_links.py
@@ -16,20 +16,20 @@
 from swiftpin.fleet.proto import fleet_pb2 as pb
 from swiftpin.helpers.address import Address
 
-WAIT = 5.0
+TIMEOUT = 5.0
 
 
 class Handler:
     """Records the incarnation of the other side."""
 
     def __init__(self) -> None:
-        self.greeted = asyncio.Event()
+        self.hello_received = asyncio.Event()
 
     def handle_item(self, link: PeerLink, item: Item) -> None:
         """Handle a `Hello`."""
         if item.WhichOneof("body") == "hello":
             link.incarnation = item.hello.incarnation
-            self.greeted.set()
+            self.hello_received.set()
 
     def make_heartbeat(self, link: PeerLink) -> Item:
         """Return an empty heartbeat."""
@@ -78,8 +78,8 @@
     links, handler, address = listener
     opener = make_links("opener", Handler())
     opener.set_peers({str(address)})
-    async with asyncio.timeout(WAIT):
-        await handler.greeted.wait()
+    async with asyncio.timeout(TIMEOUT):
+        await handler.hello_received.wait()
         lost = asyncio.Event()
         links.on_lost = lambda link: lost.set()
         opener.set_peers(set())
@@ -106,8 +106,8 @@
     lost: asyncio.Queue[PeerLink] = asyncio.Queue()
     opener.on_lost = lost.put_nowait
     opener.set_peers({str(address)})
-    async with asyncio.timeout(WAIT):
-        await handler.greeted.wait()
+    async with asyncio.timeout(TIMEOUT):
+        await handler.hello_received.wait()
         (link,) = opener.outgoing_by_peer.values()
         opener.set_peers(set())
         assert await lost.get() is link
