--- a/swiftpin/keyranges/plan_reassignments.py
+++ b/swiftpin/keyranges/plan_reassignments.py
@@ -46,13 +46,10 @@
 
 def _split(segment: Segment) -> list[tuple[int, int]]:
     """Return the parts of a segment as first and last keys."""
-    part_count = (
+    count = (
         min(PARTS_PER_SEGMENT, segment.width)
         if segment.width > PARTS_PER_SEGMENT * 64
         else 1
     )
-    bounds = [
-        segment.first + segment.width * index // part_count
-        for index in range(part_count + 1)
-    ]
-    return [(bounds[index], bounds[index + 1] - 1) for index in range(part_count)]
+    bounds = [segment.first + segment.width * i // count for i in range(count + 1)]
+    return [(bounds[i], bounds[i + 1] - 1) for i in range(count)]
