--- a/swiftpin/keyranges/plan_new_targets.py
+++ b/swiftpin/keyranges/plan_new_targets.py
@@ -16,7 +16,7 @@
     planned: list[Move],
     limited_targets: Collection[str] = (),
 ) -> list[Move]:
-    """Return moves of a first range to targets without keys that are not limited."""
+    """Return moves of a first range to targets without keys, except limited ones."""
     moves: list[Move] = []
     receiving = {move.to for move in planned}
     planned_ranges = {(move.first, move.last) for move in planned}
--- a/swiftpin/keyranges/planner.py
+++ b/swiftpin/keyranges/planner.py
@@ -41,9 +41,9 @@
 
     `capacities_by_target` holds the targets that may own keys and the requests per
     second that each can handle; `bounds_by_target` holds the lower and upper bound of
-    each capacity, if it is not known exactly. Targets in `limited_targets` get keys
-    only to balance the load. Segments that are being moved, which have a former owner,
-    are not moved again.
+    each capacity, if it is not known exactly. Targets in `limited_targets`, whose
+    capacity is limited for a while, get keys only to balance the load. Segments that
+    are being moved, which have a former owner, are not moved again.
     """
     if not capacities_by_target:
         return []
