--- a/tests/router/test_site.py
+++ b/tests/router/test_site.py
@@ -105,7 +105,7 @@
 
 
 async def test_refusal_has_a_retry_after(site: Site) -> None:
-    """Requests that can't be served in time are refused unexecuted, with Retry-After."""
+    """Requests that can't be served in time are refused at once, with Retry-After."""
     for target in site.targets_by_name.values():
         target.work = 0.4
     calls = [site.async_call("/book/x", method="POST", key=1) for _ in range(14)]
--- a/tests/router/test_start.py
+++ b/tests/router/test_start.py
@@ -21,7 +21,7 @@
 
 
 def test_library_of_metrics_is_loaded_with_the_first_scrape() -> None:
-    """The import takes 0.05 s, and an instance that is never scraped doesn't need it."""
+    """The import takes 0.05 s; an instance that is never scraped doesn't need it."""
     loaded = loaded_after("import swiftpin.router.daemon")
     assert "swiftpin.router.metrics" in loaded
     assert "prometheus_client" not in loaded
