--- a/swiftpin/router/configuration_lag.py
+++ b/swiftpin/router/configuration_lag.py
@@ -23,14 +23,14 @@
         self.has_source = True
         """Whether the store or a reachable neighbour has the missing version."""
 
-        self._limit = math.inf
+        self._max_lag = math.inf
         self._announced_at_by_version: dict[int, float] = {}
         """First announcement by others of each version above the one in force."""
 
     @callback
     def set_apply_bound(self, seconds: float) -> None:
         """Set the time within which an accepted configuration must be in force."""
-        self._limit = max(seconds - MAX_NOTIFICATION_DELAY, 0.0)
+        self._max_lag = max(seconds - MAX_NOTIFICATION_DELAY, 0.0)
 
     @callback
     def record_announced(self, version: int, in_force: int, now: float) -> None:
@@ -52,7 +52,7 @@
     def is_outdated(self, now: float) -> bool:
         """Return whether a newer configuration should already be in force."""
         announced_at = min(self._announced_at_by_version.values(), default=math.inf)
-        return now - announced_at > self._limit
+        return now - announced_at > self._max_lag
 
     @callback
     def is_refusing(self, now: float) -> bool:
--- a/swiftpin/router/poison_detector.py
+++ b/swiftpin/router/poison_detector.py
@@ -42,19 +42,19 @@
         self.on_suspect: Callable[[int, str, float], None] = _ignore
         self.on_quarantine: Callable[[int], None] = _ignore_quarantine
         self._targets_by_fingerprint: dict[int, dict[str, float]] = {}
-        self._until_by_fingerprint: dict[int, float] = {}
+        self._quarantined_until_by_fingerprint: dict[int, float] = {}
 
     @callback
     def is_quarantined(self, fingerprint: int, now: float) -> bool:
         """Return whether requests with the fingerprint must be refused."""
-        return now < self._until_by_fingerprint.get(fingerprint, 0.0)
+        return now < self._quarantined_until_by_fingerprint.get(fingerprint, 0.0)
 
     @callback
     def quarantined_fingerprints(self, now: float) -> list[int]:
         """Return the fingerprints of the quarantined requests."""
         return [
             fingerprint
-            for fingerprint in self._until_by_fingerprint
+            for fingerprint in self._quarantined_until_by_fingerprint
             if self.is_quarantined(fingerprint, now)
         ]
 
@@ -67,7 +67,7 @@
                 level="warning",
                 fingerprint=f"{fingerprint:016x}",
             )
-        self._until_by_fingerprint[fingerprint] = now + QUARANTINE_TIME
+        self._quarantined_until_by_fingerprint[fingerprint] = now + QUARANTINE_TIME
 
     @callback
     def record_suspect(self, fingerprint: int, target: str, now: float) -> None:
--- a/swiftpin/router/request_handler.py
+++ b/swiftpin/router/request_handler.py
@@ -56,19 +56,21 @@
         log: RequestLog,
     ) -> None:
         self.in_flight = 0
+        """Number of requests that are being handled."""
+
         self._is_refusing_new = False
         self._deadlines_by_call: dict[int, tuple[Call, Deadline]] = {}
         self._configuration = configuration
         self._sender = sender
         self._lifecycle = lifecycle
         self._log = log
-        self._splits = SplitChooser()
+        self._split_chooser = SplitChooser()
         self._deadline_watch = DeadlineWatch()
 
     @callback
     def handle_configuration_change(self) -> None:
         """Restart the traffic splits with the weights of the new configuration."""
-        self._splits.reset()
+        self._split_chooser.reset()
 
     @callback
     def refuse_new_requests(self) -> None:
@@ -131,11 +133,13 @@
         except Exception as fault:  # noqa: BLE001 - answered as an internal error
             # The HTTP server would report a malformed request that was not executed,
             # although a target may have executed it.
-            internal = RequestError("the router failed; see its log")
-            self._log.write_failed(call, request, internal, started_at, fault=fault)
+            internal_error = RequestError("the router failed; see its log")
+            self._log.write_failed(
+                call, request, internal_error, started_at, fault=fault
+            )
             answer.abort_connection()
             if not answer.is_started:
-                await _async_send_error(answer, internal)
+                await _async_send_error(answer, internal_error)
         else:
             self._log.write_served(call, started_at)
 
@@ -172,7 +176,7 @@
             request=request,
             head=head,
             route=route,
-            service=self._splits.choose(route),
+            service=self._split_chooser.choose(route),
             body=RequestBody(request, configuration.limits.body_bytes),
             started_at=started_at,
             ends_at=started_at + timeout,
--- a/swiftpin/router/request_log.py
+++ b/swiftpin/router/request_log.py
@@ -29,8 +29,8 @@
 MILLISECONDS: Final = 1000.0
 MAX_SERVED_LINES_PER_SECOND: Final = 400
 MAX_FAILED_LINES_PER_SECOND: Final = 2000
-"""Lines per second; a line has about 400 bytes. The next line that is written, per
-limit, states how many were suppressed before it."""
+"""Lines per second; a line has about 400 bytes. Each limit has its own count of
+suppressed lines, which the next line written under it states."""
 
 
 class RequestLog:
@@ -118,14 +118,14 @@
         """Write a line unless its level is off or its rate limit is exceeded."""
         if not self._destination.is_enabled(level):
             return
-        budget = self._served_lines if level == "info" else self._failed_lines
-        if not budget.allow(time.monotonic()):
+        rate_limiter = self._served_lines if level == "info" else self._failed_lines
+        if not rate_limiter.allow(time.monotonic()):
             return
-        if left_out := budget.take_suppressed_count():
-            outcome = f"{outcome} left_out_before={left_out}"
-        pairs = "" if call is None else self._format_call(call)
+        if suppressed := rate_limiter.take_suppressed_count():
+            outcome = f"{outcome} left_out_before={suppressed}"
+        call_fields = "" if call is None else self._format_call(call)
         self._destination.write_line(
-            f"time={format_time(time.time())} level={level} event=request{pairs}"
+            f"time={format_time(time.time())} level={level} event=request{call_fields}"
             f" {outcome} elapsed_ms={elapsed * MILLISECONDS:.1f}",
             level,
         )
--- a/swiftpin/router/request_sender.py
+++ b/swiftpin/router/request_sender.py
@@ -141,7 +141,7 @@
 
         Raises `QueueFullError` if no slot will be free in time.
         """
-        now = asyncio.get_running_loop().time()
+        asked_at = asyncio.get_running_loop().time()
         try:
             permit_result = await self._permits.async_ask(
                 PermitQuery(
@@ -157,7 +157,7 @@
             )
         finally:
             # Also counted when the caller disconnects, for the log line.
-            call.waited += asyncio.get_running_loop().time() - now
+            call.waited += asyncio.get_running_loop().time() - asked_at
         if permit_result is None:
             return None
         decision, permit = permit_result
--- a/swiftpin/router/retry_budget.py
+++ b/swiftpin/router/retry_budget.py
@@ -43,6 +43,7 @@
         if self._earned >= self._earned_reserved + 1:
             self._earned_reserved += 1
             return True
+        # The slack covers the minimum saving as far as the requests' share does not.
         slack_for_saving = max(
             MIN_SAVED_RETRIES - limits.max_saved_per_request * self._requests, 0.0
         )
@@ -80,8 +81,8 @@
     def _count_in_interval(self, interval: float, now: float) -> None:
         """Count a request in the current interval, which lasts `interval` seconds."""
         if self._counts and now - self._counts[-1][0] < interval:
-            began_at, count = self._counts.pop()
-            self._counts.append((began_at, count + 1))
+            interval_start, count = self._counts.pop()
+            self._counts.append((interval_start, count + 1))
         else:
             self._counts.append((now, 1))
         self._requests += 1
--- a/swiftpin/router/retry_policy.py
+++ b/swiftpin/router/retry_policy.py
@@ -1,4 +1,4 @@
-"""Decision whether a request may be retried."""
+"""Policy for retries of requests."""
 
 from __future__ import annotations
 
--- a/swiftpin/router/target_exchange.py
+++ b/swiftpin/router/target_exchange.py
@@ -156,8 +156,9 @@
         failed = answer.status >= HTTPStatus.INTERNAL_SERVER_ERROR
         answered_at = asyncio.get_running_loop().time()
         elapsed = answered_at - began_at
-        # The target's work is done when the answer starts. Its slot is freed while the
-        # body is transferred, which takes longer than the work on slow links.
+        # The target's work is done when the answer starts. Its slot is freed before the
+        # body is transferred, since the transfer over a slow link takes longer than the
+        # work itself.
         self._permits.end(permit, elapsed, failed=failed)
         try:
             if not head.is_signed and answer.status < HTTPStatus.MULTIPLE_CHOICES:
--- a/tests/router/retry_fleet.py
+++ b/tests/router/retry_fleet.py
@@ -106,12 +106,12 @@
             default=-SLACK,
         )
 
-    def kill(self, share: float, down: float = 0.5) -> None:
+    def kill(self, share: float, downtime: float = 0.5) -> None:
         """Kill a share of the instances; they restart after `down` seconds."""
         names = sorted(self.instances_by_name)
         for name in self.random.sample(names, round(share * len(names))):
             del self.instances_by_name[name]
-            self.schedule(self.now + down, partial(self.start, name))
+            self.schedule(self.now + downtime, partial(self.start, name))
 
     def start(self, name: int) -> None:
         """Start an instance."""
@@ -120,9 +120,11 @@
     def isolate(self, share: float, seconds: float) -> None:
         """Partition instances from the others and from the store, not from callers."""
         names = sorted(self.instances_by_name)
-        cut = self.random.sample(names, round(share * len(names)))
-        self._isolated.update(cut)
-        self.schedule(self.now + seconds, lambda: self._isolated.difference_update(cut))
+        isolated_names = self.random.sample(names, round(share * len(names)))
+        self._isolated.update(isolated_names)
+        self.schedule(
+            self.now + seconds, lambda: self._isolated.difference_update(isolated_names)
+        )
 
     def freeze(self, share: float, seconds: float) -> None:
         """Freeze a share of the processes; their events wait until they resume."""
@@ -240,12 +242,12 @@
 
     def _choose_holder(self) -> None:
         """Keep the lease holder, or choose another one after the takeover time."""
-        able = [it for it in self._reachable() if it.frozen_until <= self.now]
-        if self._holder is not None and self._holder not in able:
+        candidates = [it for it in self._reachable() if it.frozen_until <= self.now]
+        if self._holder is not None and self._holder not in candidates:
             self._holder = None
             self._holder_lost_at = self.now
-        if self._holder is None and able and self._is_lease_free():
-            self._holder = able[0]
+        if self._holder is None and candidates and self._is_lease_free():
+            self._holder = candidates[0]
             self._announced_members = 0
             self._linked_since_by_pair.clear()
 
