--- a/swiftpin/router/metrics.py
+++ b/swiftpin/router/metrics.py
@@ -106,6 +106,8 @@
         """Whether this instance holds the lease to assign keys."""
 
         self.store_lost = False
+        """Whether the store does not respond to this instance."""
+
         self.log_writer: LineWriter | None = None
         self.link_traffic = LinkTraffic()
         """Traffic on the links to other instances."""
--- a/swiftpin/router/received_answer.py
+++ b/swiftpin/router/received_answer.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ReceivedAnswer:
-    """An answer of which the start or all was read."""
+    """A target's answer with the part of its body that was read."""
 
     answer: HttpAnswer
     first_chunks: list[bytes]
