--- a/swiftpin/router/app.py
+++ b/swiftpin/router/app.py
@@ -65,7 +65,7 @@
         self._metrics.set_log_writer(logging.writer)
         self._health = StoreHealth()
         self._configuration = ConfigurationHolder()
-        self._configuration.lag.set_apply_bound(settings.bounds.apply_limit)
+        self._configuration.lag.set_apply_limit(settings.bounds.apply_limit)
         self._evacuations = Evacuations(settings.bounds.evacuation_limit)
         self._directory = TargetDirectory(
             self._health, settings.bounds.drain_limit, self._evacuations
@@ -248,7 +248,7 @@
         self._assigner_factory.settings = settings
         self._directory.set_drain(settings.bounds.drain_limit)
         self._evacuations.set_bound(settings.bounds.evacuation_limit)
-        self._configuration.lag.set_apply_bound(settings.bounds.apply_limit)
+        self._configuration.lag.set_apply_limit(settings.bounds.apply_limit)
         self._sender.retries.set_bounds(settings.bounds)
 
     @callback
--- a/swiftpin/router/configuration_lag.py
+++ b/swiftpin/router/configuration_lag.py
@@ -28,7 +28,7 @@
         """First announcement by others of each version above the one in force."""
 
     @callback
-    def set_apply_bound(self, seconds: float) -> None:
+    def set_apply_limit(self, seconds: float) -> None:
         """Set the time within which an accepted configuration must be in force."""
         self._max_lag = max(seconds - MAX_NOTIFICATION_DELAY, 0.0)
 
--- a/tests/router/retry_fleet.py
+++ b/tests/router/retry_fleet.py
@@ -107,7 +107,7 @@
         )
 
     def kill(self, share: float, downtime: float = 0.5) -> None:
-        """Kill a share of the instances; they restart after `down` seconds."""
+        """Kill a share of the instances; they restart after `downtime` seconds."""
         names = sorted(self.instances_by_name)
         for name in self.random.sample(names, round(share * len(names))):
             del self.instances_by_name[name]
--- a/tests/router/test_configuration_lag.py
+++ b/tests/router/test_configuration_lag.py
@@ -17,7 +17,7 @@
 def lag_fixture() -> ConfigurationLag:
     """Return the lag of an instance with version 5 in force, at second 10."""
     lag = ConfigurationLag()
-    lag.set_apply_bound(BOUNDS.apply_limit)
+    lag.set_apply_limit(BOUNDS.apply_limit)
     lag.record_adopted(5)
     return lag
 
--- a/tests/router/test_status_endpoints.py
+++ b/tests/router/test_status_endpoints.py
@@ -78,7 +78,7 @@
     """Guards against callers being sent to an instance that refuses them."""
     starting.configure()
     lag = starting.configuration.lag
-    lag.set_apply_bound(2.0)
+    lag.set_apply_limit(2.0)
     lag.record_announced(2, in_force=1, now=MAX_MAP_WAIT)
     assert starting.status.is_ready(MAX_MAP_WAIT + 0.5)
     assert not starting.status.is_ready(MAX_MAP_WAIT + 2.0)
