--- a/swiftpin/bench/decisions/modelled_router.py
+++ b/swiftpin/bench/decisions/modelled_router.py
@@ -100,7 +100,9 @@
         """Return the cold targets by name."""
         now = self._clock.now
         return {
-            name: ColdTarget(left=target.cold_until - now, rate=self._shape.cold_rate)
+            name: ColdTarget(
+                remaining=target.cold_until - now, rate=self._shape.cold_rate
+            )
             for name, target in self.targets_by_name.items()
             if target.cold_until > now and not math.isinf(self._shape.cold_rate)
         }
@@ -158,11 +160,11 @@
             priority=attempt.sort.priority,
             objective_at=attempt.came_at + attempt.sort.objective,
             ends_at=attempt.ends_at,
-            decide=lambda decision: self._decide(attempt, request_id, decision),
+            on_decision=lambda decision: self._decide(attempt, request_id, decision),
         )
         self._asked[request_id] = (attempt, target)
         self._clock.after(
-            MESSAGE_TIME, lambda: self._queue.ask(request, self._clock.now)
+            MESSAGE_TIME, lambda: self._queue.submit(request, self._clock.now)
         )
 
     def _decide(
@@ -171,7 +173,7 @@
         """Send by a permit, or reject."""
         if self._asked.pop(request_id, None) is None:
             # Withdrawn before it came to the queue; a permit goes straight back.
-            self._queue.end(request_id, 0.0, failed=False, now=self._clock.now)
+            self._queue.release(request_id, 0.0, failed=False, now=self._clock.now)
             return
         if decision.is_granted:
             self._clock.after(
@@ -210,7 +212,7 @@
         seconds = self._clock.now - sent_at + MESSAGE_TIME if is_done else 0.0
         self._clock.after(
             MESSAGE_TIME,
-            lambda: self._queue.end(
+            lambda: self._queue.release(
                 request_id, seconds, failed=is_failure, now=self._clock.now
             ),
         )
@@ -237,7 +239,7 @@
         for request_id, (attempt, target) in list(self._asked.items()):
             if attempt.key is not None and owners.owner_of(attempt.key) != target:
                 del self._asked[request_id]
-                self._queue.end(request_id, 0.0, failed=False, now=self._clock.now)
+                self._queue.release(request_id, 0.0, failed=False, now=self._clock.now)
                 self._find(attempt)
         waiting, self._waiting_for_owner = self._waiting_for_owner, []
         for until, attempt in waiting:
--- a/swiftpin/permits/cold_limit.py
+++ b/swiftpin/permits/cold_limit.py
@@ -17,7 +17,7 @@
 class ColdTarget:
     """What an issuer knows of a target that is cold."""
 
-    left: float
+    remaining: float
     """Seconds for which it is still cold."""
 
     rate: float
@@ -46,7 +46,7 @@
         if not self.is_cold(now):
             # Another instance may have issued permits until now.
             self._next_at = now + _interval(target.rate)
-        self._warm_at = now + target.left
+        self._warm_at = now + target.remaining
         self._rate = target.rate
 
     @callback
--- a/swiftpin/permits/cold_targets.py
+++ b/swiftpin/permits/cold_targets.py
@@ -19,13 +19,13 @@
 class ColdTargets:
     """Targets of a service that are cold, and what they bear."""
 
-    left_by_id: Mapping[str, float] = field(default_factory=dict)
+    remaining_by_id: Mapping[str, float] = field(default_factory=dict)
     """Seconds for which each is still cold."""
 
     rate: float = math.inf
     """Requests a second that one bears."""
 
-    most_a_second: float = math.inf
+    max_per_second: float = math.inf
     """Requests that one may get within a second from all instances together."""
 
     is_keyed: bool = False
@@ -42,7 +42,7 @@
         most = self._most_issuers()
         return {
             target: ColdTarget(
-                left=left,
+                remaining=left,
                 rate=(
                     self.rate
                     if incarnation
@@ -50,16 +50,16 @@
                     else 0.0
                 ),
             )
-            for target, left in self.left_by_id.items()
+            for target, left in self.remaining_by_id.items()
             if not math.isinf(self.rate)
         }
 
     @callback
     def _most_issuers(self) -> int:
         """Return how many instances may issue permits for one target side by side."""
-        if math.isinf(self.most_a_second):
+        if math.isinf(self.max_per_second):
             return 1
-        return max(int(self.most_a_second / (self.rate + COLD_BURST)), 1)
+        return max(int(self.max_per_second / (self.rate + COLD_BURST)), 1)
 
 
 ALL_WARM: Final = ColdTargets()
--- a/swiftpin/permits/issuer_choice.py
+++ b/swiftpin/permits/issuer_choice.py
@@ -19,37 +19,37 @@
 
 
 @callback
-def by_strength(strengths_by_incarnation: Mapping[str, float]) -> list[str]:
+def rank_by_cpu_capacity(cpu_capacity_by_incarnation: Mapping[str, float]) -> list[str]:
     """Return the instances, strongest first."""
     return sorted(
-        strengths_by_incarnation,
-        key=lambda name: (-strengths_by_incarnation[name], name),
+        cpu_capacity_by_incarnation,
+        key=lambda name: (-cpu_capacity_by_incarnation[name], name),
     )
 
 
 @callback
 def choose_issuers(
-    strengths_by_incarnation: Mapping[str, float],
+    cpu_capacity_by_incarnation: Mapping[str, float],
     *,
-    present: Collection[str],
+    current: Collection[str],
     assigner: str,
-    targets: int,
+    target_count: int,
 ) -> list[str]:
     """Return the instances that hand out permits: present ones first, then strong.
 
     The instance that assigns keys has work enough where there are many targets.
     """
-    ranked = by_strength(strengths_by_incarnation)
+    ranked = rank_by_cpu_capacity(cpu_capacity_by_incarnation)
     if not ranked:
         return []
-    count = max(LEAST_ISSUERS, math.ceil(targets / TARGETS_AN_ISSUER))
-    enough = strengths_by_incarnation[ranked[0]] * STRONG_SHARE
-    strong = [name for name in ranked if strengths_by_incarnation[name] >= enough]
+    count = max(LEAST_ISSUERS, math.ceil(target_count / TARGETS_AN_ISSUER))
+    enough = cpu_capacity_by_incarnation[ranked[0]] * STRONG_SHARE
+    strong = [name for name in ranked if cpu_capacity_by_incarnation[name] >= enough]
     if len(strong) > count > LEAST_ISSUERS and assigner in strong:
         strong.remove(assigner)
     if len(strong) >= LEAST_ISSUERS:
         # Fewer strong issuers bear more than many weak ones.
         ranked = strong
-    kept = [name for name in ranked if name in present]
-    added = [name for name in ranked if name not in present]
+    kept = [name for name in ranked if name in current]
+    added = [name for name in ranked if name not in current]
     return (kept + added)[:count]
--- a/swiftpin/permits/permit_broker.py
+++ b/swiftpin/permits/permit_broker.py
@@ -42,7 +42,7 @@
         self._numbers = count(1)
         self._pending = PendingAsks()
 
-    async def async_ask(
+    async def async_request_permit(
         self, query: PermitQuery
     ) -> tuple[PermitDecision, Permit | None] | None:
         """Return the decision and, when granted, the permit.
@@ -87,12 +87,12 @@
                     )
 
     @callback
-    def end(
-        self, permit: Permit, seconds: float, *, failed: bool, cut: bool = False
+    def release(
+        self, permit: Permit, seconds: float, *, failed: bool, abandoned: bool = False
     ) -> None:
         """Hand a permit back; `seconds` is 0 when it says nothing of the target.
 
-        A request that was given up (`cut`) would have taken at least as long.
+        A request that was given up (`abandoned`) would have taken at least as long.
         """
         self._end(
             permit.service,
@@ -100,7 +100,7 @@
             permit.issuer,
             seconds,
             failed=failed,
-            cut=cut,
+            abandoned=abandoned,
         )
 
     @callback
@@ -124,13 +124,13 @@
         )
 
     @callback
-    def note_link(self, link: PeerLink) -> None:
+    def add_link(self, link: PeerLink) -> None:
         """Take a link whose other side said who it is."""
         if link.is_outgoing:
             self._links_by_incarnation[link.incarnation] = link
 
     @callback
-    def note_lost(self, link: PeerLink) -> None:
+    def remove_link(self, link: PeerLink) -> None:
         """Give up on a link that broke, and what its other side held here."""
         self._pending.end_of(link)
         if self._links_by_incarnation.get(link.incarnation) is link:
@@ -139,7 +139,7 @@
             self._own_issuer.forget_link(link, asyncio.get_running_loop().time())
 
     @callback
-    def note_owners(self, service: str) -> None:
+    def handle_owner_change(self, service: str) -> None:
         """Act on a change of the owners of a service's keys."""
         self._pending.end_outdated(service)
 
@@ -175,10 +175,10 @@
     def _ask_self(self, query: PermitQuery, number: int, now: float) -> None:
         """Have this instance decide."""
 
-        def decide(decision: PermitDecision) -> None:
+        def on_decision(decision: PermitDecision) -> None:
             self._pending.settle(number, None, decision)
 
-        self._own_issuer.ask(
+        self._own_issuer.submit(
             PermitRequest(
                 id=(self._incarnation, number),
                 service=query.service,
@@ -188,7 +188,7 @@
                 priority=query.priority,
                 objective_at=query.objective_at,
                 ends_at=query.ends_at,
-                decide=decide,
+                on_decision=on_decision,
             ),
             now,
         )
@@ -222,16 +222,16 @@
         seconds: float,
         *,
         failed: bool,
-        cut: bool = False,
+        abandoned: bool = False,
     ) -> None:
         """Hand back a permit, or a question that nobody waits for any more."""
         if issuer is None:
-            self._own_issuer.end(
+            self._own_issuer.release(
                 service,
                 (self._incarnation, number),
                 seconds,
                 failed=failed,
-                cut=cut,
+                abandoned=abandoned,
                 now=asyncio.get_running_loop().time(),
             )
             return
@@ -242,7 +242,7 @@
                     service=service,
                     seconds=seconds,
                     failed=failed,
-                    cut=cut,
+                    cut=abandoned,
                 )
             )
         )
--- a/swiftpin/permits/permit_issuer.py
+++ b/swiftpin/permits/permit_issuer.py
@@ -40,30 +40,32 @@
         )
 
     @callback
-    def ask(self, request: PermitRequest, now: float) -> None:
+    def submit(self, request: PermitRequest, now: float) -> None:
         """Grant, queue or reject a request."""
-        self._queue(request.service).ask(request, now)
+        self._queue(request.service).submit(request, now)
 
     @callback
-    def end(
+    def release(
         self,
         service: str,
         request_id: tuple[str, int],
         seconds: float,
         *,
         failed: bool,
-        cut: bool,
+        abandoned: bool,
         now: float,
     ) -> None:
         """Take back a permit, or a request that waits for one."""
-        self._queue(service).end(request_id, seconds, failed=failed, cut=cut, now=now)
+        self._queue(service).release(
+            request_id, seconds, failed=failed, abandoned=abandoned, now=now
+        )
 
     @callback
     def handle_ask(self, link: PeerLink, ask: Item, now: float) -> None:
         """Decide for another instance."""
         number = ask.id
 
-        def decide(decision: PermitDecision) -> None:
+        def on_decision(decision: PermitDecision) -> None:
             link.send(
                 pb.Item(
                     answer=pb.PermitAnswer(
@@ -75,7 +77,7 @@
                 )
             )
 
-        self.ask(
+        self.submit(
             PermitRequest(
                 id=(_asker(link), number),
                 service=ask.service,
@@ -85,7 +87,7 @@
                 priority=ask.priority,
                 objective_at=now + ask.objective_left,
                 ends_at=now + ask.time_left,
-                decide=decide,
+                on_decision=on_decision,
             ),
             now,
         )
@@ -93,12 +95,12 @@
     @callback
     def handle_end(self, link: PeerLink, end: Item, now: float) -> None:
         """Take another instance's permit back."""
-        self.end(
+        self.release(
             end.service,
             (_asker(link), end.id),
             end.seconds,
             failed=end.failed,
-            cut=end.cut,
+            abandoned=end.cut,
             now=now,
         )
 
--- a/swiftpin/permits/permit_queue.py
+++ b/swiftpin/permits/permit_queue.py
@@ -81,7 +81,7 @@
             self._serve(target_id, now)
 
     @callback
-    def ask(self, request: PermitRequest, now: float) -> None:
+    def submit(self, request: PermitRequest, now: float) -> None:
         """Grant, queue or reject a request."""
         target = self._free_target(request, now)
         if target is not None and now + ANSWER_WAY <= request.ends_at:
@@ -91,19 +91,19 @@
         self._review(request.target, now)
 
     @callback
-    def end(
+    def release(
         self,
         request_id: tuple[str, int],
         seconds: float,
         *,
         failed: bool,
         now: float,
-        cut: bool = False,
+        abandoned: bool = False,
     ) -> None:
         """Take back a permit, or a request that waits for one.
 
         `seconds` is how long the target took, 0 when that says nothing about it; a
-        request that was given up (`cut`) would have taken at least that long.
+        request that was given up (`abandoned`) would have taken at least that long.
         """
         target = self._running.pop(request_id, None)
         if target is None:
@@ -113,14 +113,14 @@
         hold = now - slots.granted_at_by_request.pop(request_id)
         if failed:
             slots.note_failure(now)
-        elif seconds > (slots.mean_time if cut else 0):
+        elif seconds > (slots.mean_time if abandoned else 0):
             slots.note_time(seconds)
-        if not failed and not cut and seconds > 0:
+        if not failed and not abandoned and seconds > 0:
             turnaround = max(hold - seconds, 0.0)
             self._turnaround.note(turnaround)
             if self._on_turnaround is not None:
                 self._on_turnaround(self._service, turnaround)
-        if not failed and seconds > 0 and (not cut or hold > self._hold(slots)):
+        if not failed and seconds > 0 and (not abandoned or hold > self._hold(slots)):
             slots.note_hold(hold)
             self._service_slots.note_hold(hold)
         self._forget_unused(target)
@@ -134,7 +134,7 @@
                 request for request in queue.requests if request.id[0] != incarnation
             ]
         for request_id in [key for key in self._running if key[0] == incarnation]:
-            self.end(request_id, 0.0, failed=False, now=now)
+            self.release(request_id, 0.0, failed=False, now=now)
 
     @callback
     def expire(self, now: float) -> None:
@@ -250,7 +250,7 @@
         slots.granted_at_by_request[request.id] = now
         slots.cold.record(now)
         self._running[request.id] = target
-        request.decide(PermitDecision(target=target))
+        request.on_decision(PermitDecision(target=target))
 
     @callback
     def _review(self, target: str, now: float) -> None:
@@ -301,4 +301,4 @@
 @callback
 def _reject(request: PermitRequest, retry_after: float) -> None:
     """Tell an asker that there is no slot, and when there may be one."""
-    request.decide(PermitDecision(target="", retry_after=retry_after))
+    request.on_decision(PermitDecision(target="", retry_after=retry_after))
--- a/swiftpin/permits/permit_request.py
+++ b/swiftpin/permits/permit_request.py
@@ -32,4 +32,4 @@
     ends_at: float
     """When the answer has no use any more."""
 
-    decide: Callable[[PermitDecision], None]
+    on_decision: Callable[[PermitDecision], None]
--- a/swiftpin/router/app.py
+++ b/swiftpin/router/app.py
@@ -155,7 +155,7 @@
         self._configuration.on_change = self._handle_configuration_change
         self._directory.on_change = self._update_permit_targets
         self._evacuations.on_change = self._update_permit_targets
-        self._maps.on_change = self._permits.note_owners
+        self._maps.on_change = self._permits.handle_owner_change
         status_endpoints = StatusEndpoints(
             started_at=suspend_aware_now(),
             lifecycle=self._lifecycle,
@@ -320,13 +320,13 @@
             for target in targets
         }
         return ColdTargets(
-            left_by_id={
+            remaining_by_id={
                 target_id: remaining
                 for target_id, remaining in remaining_by_id.items()
                 if remaining
             },
             rate=service.cold_rate,
-            most_a_second=self._settings.bounds.cold_limit(service.cold_rate),
+            max_per_second=self._settings.bounds.cold_limit(service.cold_rate),
             is_keyed=service.is_keyed,
         )
 
--- a/swiftpin/router/fleet_coordinator.py
+++ b/swiftpin/router/fleet_coordinator.py
@@ -72,7 +72,7 @@
             handler=self,
             bandwidth=bandwidth,
         )
-        links.on_lost = permits.note_lost
+        links.on_lost = permits.remove_link
         self._seeds = seeds
         self._lease = lease
         self._permits = permits
@@ -186,7 +186,7 @@
         link.incarnation = hello.incarnation
         link.peer = hello.peer
         link.cpu_capacity = hello.strength
-        self._permits.note_link(link)
+        self._permits.add_link(link)
         log_message(
             message_type="peer_linked",
             peer=link.incarnation,
--- a/swiftpin/router/issuer_list.py
+++ b/swiftpin/router/issuer_list.py
@@ -12,7 +12,7 @@
 from swiftpin.fleet.links import FleetLinks
 from swiftpin.gateway.lifecycle import Lifecycle
 from swiftpin.keyranges.lease_election import LeaseElection
-from swiftpin.permits.issuer_choice import by_strength, choose_issuers
+from swiftpin.permits.issuer_choice import choose_issuers, rank_by_cpu_capacity
 from swiftpin.permits.permit_broker import PermitBroker
 from swiftpin.permits.permit_issuers import PermitIssuers
 from swiftpin.router.fleet_messages import encode_issuers
@@ -59,14 +59,14 @@
         }
         self._lease.members = tuple(
             name.partition("/")[0]
-            for name in by_strength(cpu_capacities)[:MAX_CANDIDATES]
+            for name in rank_by_cpu_capacity(cpu_capacities)[:MAX_CANDIDATES]
         )
         current = self._permits.issuers
         chosen = choose_issuers(
             cpu_capacities,
-            present=current.peers_by_incarnation,
+            current=current.peers_by_incarnation,
             assigner=self._incarnation,
-            targets=len(self._directory.targets_by_id),
+            target_count=len(self._directory.targets_by_id),
         )
         chosen = self._order_for_watching(chosen)
         issuers = {name: members[name][1] for name in chosen}
--- a/swiftpin/router/request_sender.py
+++ b/swiftpin/router/request_sender.py
@@ -143,7 +143,7 @@
         """
         asked_at = asyncio.get_running_loop().time()
         try:
-            permit_result = await self._permits.async_ask(
+            permit_result = await self._permits.async_request_permit(
                 PermitQuery(
                     service=call.service,
                     target=owner,
--- a/swiftpin/router/target_exchange.py
+++ b/swiftpin/router/target_exchange.py
@@ -101,7 +101,7 @@
                     StepFailure.GIVEN_UP, f"{permit.target} had it to the end"
                 )
             elapsed = asyncio.get_running_loop().time() - began_at
-            self._permits.end(permit, elapsed, failed=False, cut=True)
+            self._permits.release(permit, elapsed, failed=False, abandoned=True)
             self.load.add_abandoned(call.service, permit.target, elapsed)
             raise
         finally:
@@ -159,7 +159,7 @@
         # The target's work is done when the answer starts. Its slot is freed before the
         # body is transferred, since the transfer over a slow link takes longer than the
         # work itself.
-        self._permits.end(permit, elapsed, failed=failed)
+        self._permits.release(permit, elapsed, failed=failed)
         try:
             if not head.is_signed and answer.status < HTTPStatus.MULTIPLE_CHOICES:
                 raise AnswerBrokenError("a success without the target's signature")
@@ -211,7 +211,7 @@
         # The key is being moved away or its grant has expired; the target itself is
         # healthy. If such refusals counted as failures, a target that has just lost
         # keys would seem to have less capacity, and more of its keys would be moved.
-        self._permits.end(permit, 0.0, failed=False)
+        self._permits.release(permit, 0.0, failed=False)
         self._record_step_failure(call, permit, StepFailure.REFUSED, reason)
 
     @callback
@@ -220,7 +220,7 @@
     ) -> None:
         """Record a send that got no answer and end its permit as failed."""
         self._record_step_failure(call, permit, failure, reason)
-        self._permits.end(permit, 0.0, failed=True)
+        self._permits.release(permit, 0.0, failed=True)
         self.load.add_duration(call.service, permit.target, None)
 
     @callback
--- a/tests/permits/asker.py
+++ b/tests/permits/asker.py
@@ -48,9 +48,9 @@
             priority=priority,
             objective_at=now + 1.0 if objective_at is None else objective_at,
             ends_at=now + 2.0 if ends_at is None else ends_at,
-            decide=decide,
+            on_decision=decide,
         )
-        self.queue.ask(request, now)
+        self.queue.submit(request, now)
         return number
 
     def end(
@@ -63,7 +63,7 @@
         now: float = 0.1,
     ) -> None:
         """Hand a permit back."""
-        self.queue.end((asker, number), seconds, failed=failed, now=now)
+        self.queue.release((asker, number), seconds, failed=failed, now=now)
 
     def run(self, target: str, *, seconds: float, times: int, now: float) -> float:
         """Let a target run requests one by one; return when the last one ended."""
--- a/tests/permits/test_cold_limit.py
+++ b/tests/permits/test_cold_limit.py
@@ -18,7 +18,7 @@
 
 RATE = 4.7
 MOST_A_SECOND = 15.05
-COLD = ColdTarget(left=3.0, rate=RATE)
+COLD = ColdTarget(remaining=3.0, rate=RATE)
 SERVICE_TIME = 0.1
 
 
@@ -40,7 +40,9 @@
             self.now += EXPIRE_INTERVAL
             while self._ends and self._ends[0][0] <= self.now:
                 _, number = heappop(self._ends)
-                self.queue.end(("i", number), SERVICE_TIME, failed=False, now=self.now)
+                self.queue.release(
+                    ("i", number), SERVICE_TIME, failed=False, now=self.now
+                )
             for _ in range(round(10 * RATE * EXPIRE_INTERVAL)):
                 self._ask()
             self.queue.expire(self.now)
@@ -56,7 +58,7 @@
             self.granted_at.append(self.now)
             heappush(self._ends, (self.now + SERVICE_TIME, number))
 
-        self.queue.ask(
+        self.queue.submit(
             PermitRequest(
                 id=("i", number),
                 service="desk",
@@ -66,7 +68,7 @@
                 priority=1,
                 objective_at=self.now + 0.6,
                 ends_at=self.now + 1.0,
-                decide=decide,
+                on_decision=decide,
             ),
             self.now,
         )
@@ -127,7 +129,7 @@
 def test_issuer_without_a_share_leaves_cold_targets_alone() -> None:
     """Guards against many instances that each give a cold target its whole rate."""
     queue = PermitQueue("desk")
-    barred = ColdTarget(left=3.0, rate=0.0)
+    barred = ColdTarget(remaining=3.0, rate=0.0)
     queue.set_targets([make_target("a")], 0.0, cold_by_id={"a": barred})
     asker = Asker(queue)
     hopeless = asker.ask("a", now=0.0, ends_at=2.0)
@@ -149,9 +151,9 @@
         term=1, number=1, peers_by_incarnation=dict.fromkeys(names, ""), members=40
     )
     cold = ColdTargets(
-        left_by_id={"a": 3.0},
+        remaining_by_id={"a": 3.0},
         rate=RATE,
-        most_a_second=MOST_A_SECOND,
+        max_per_second=MOST_A_SECOND,
         is_keyed=is_keyed,
     )
     rates = [
@@ -166,4 +168,6 @@
 def test_service_without_a_declared_rate_has_no_limit() -> None:
     """Cold targets are slow there, and bear as many requests as their slots."""
     issuers = PermitIssuers(term=1, number=1, peers_by_incarnation={}, members=1)
-    assert ColdTargets(left_by_id={"a": 3.0}).for_issuer("desk", "i", issuers) == {}
+    assert (
+        ColdTargets(remaining_by_id={"a": 3.0}).for_issuer("desk", "i", issuers) == {}
+    )
--- a/tests/permits/test_permit_broker.py
+++ b/tests/permits/test_permit_broker.py
@@ -55,7 +55,7 @@
 
 async def async_permit(broker: PermitBroker, owner: Owner) -> Permit:
     """Return a permit that is there to be had."""
-    asked = await broker.async_ask(make_query(owner))
+    asked = await broker.async_request_permit(make_query(owner))
     assert asked is not None
     assert asked[1] is not None
     return asked[1]
@@ -71,16 +71,16 @@
     only by the refusal, which counts as a send.
     """
     permit = await async_permit(broker, owner)
-    waiting = asyncio.ensure_future(broker.async_ask(make_query(owner)))
+    waiting = asyncio.ensure_future(broker.async_request_permit(make_query(owner)))
     await asyncio.sleep(0)
     owner.name = "b"
-    broker.note_owners("other service")
+    broker.handle_owner_change("other service")
     await asyncio.sleep(0)
     assert not waiting.done()
-    broker.note_owners(SERVICE)
+    broker.handle_owner_change(SERVICE)
     assert await waiting is None
     owner.name = "a"
-    broker.end(permit, 0.01, failed=False)
+    broker.release(permit, 0.01, failed=False)
     assert await async_permit(broker, owner)
 
 
@@ -89,12 +89,12 @@
 ) -> None:
     """Other keys of the service move all the time while hot keys are shared out."""
     permit = await async_permit(broker, owner)
-    waiting = asyncio.ensure_future(broker.async_ask(make_query(owner)))
+    waiting = asyncio.ensure_future(broker.async_request_permit(make_query(owner)))
     await asyncio.sleep(0)
-    broker.note_owners(SERVICE)
+    broker.handle_owner_change(SERVICE)
     await asyncio.sleep(0)
     assert not waiting.done()
-    broker.end(permit, 0.01, failed=False)
+    broker.release(permit, 0.01, failed=False)
     asked = await waiting
     assert asked is not None
     assert asked[1] is not None
--- a/tests/permits/test_permits_ahead.py
+++ b/tests/permits/test_permits_ahead.py
@@ -57,7 +57,7 @@
                 self._arrive(number)
                 continue
             self.served += 1
-            self._queue.end(("i1", number), seconds, failed=False, now=self.now)
+            self._queue.release(("i1", number), seconds, failed=False, now=self.now)
             self._ask()
         return self.served * SERVICE_TIME / (DURATION * SLOTS)
 
@@ -73,7 +73,7 @@
             assert decision.is_granted
             self._plan(self.now + self.way, number, 0.0)
 
-        self._queue.ask(
+        self._queue.submit(
             PermitRequest(
                 id=("i1", number),
                 service="desk",
@@ -83,7 +83,7 @@
                 priority=1,
                 objective_at=self.now + 10.0,
                 ends_at=self.now + 20.0,
-                decide=decide,
+                on_decision=decide,
             ),
             self.now,
         )
--- a/tests/permits/test_queue_under_overload.py
+++ b/tests/permits/test_queue_under_overload.py
@@ -122,7 +122,7 @@
             if decision.is_granted:
                 self.plan(self.now + self.service_time(), "finish", number)
 
-        self.queue.ask(
+        self.queue.submit(
             PermitRequest(
                 id=("i1", number),
                 service="desk",
@@ -132,7 +132,7 @@
                 priority=1,
                 objective_at=fate.objective_at,
                 ends_at=fate.ends_at,
-                decide=decide,
+                on_decision=decide,
             ),
             self.now,
         )
@@ -152,7 +152,7 @@
         assert fate.decided_at is not None
         fate.finished_at = self.now
         seconds = self.now - fate.decided_at
-        self.queue.end(("i1", number), seconds, failed=False, now=self.now)
+        self.queue.release(("i1", number), seconds, failed=False, now=self.now)
 
 
 def play(
--- a/tests/permits/test_service_order.py
+++ b/tests/permits/test_service_order.py
@@ -32,7 +32,7 @@
         priority=priority,
         objective_at=objective_at,
         ends_at=objective_at + 1.0,
-        decide=lambda decision: None,
+        on_decision=lambda decision: None,
     )
 
 
@@ -126,7 +126,7 @@
             if number is None:
                 self._arrive()
             else:
-                self._queue.end(("i", number), seconds, failed=False, now=self.now)
+                self._queue.release(("i", number), seconds, failed=False, now=self.now)
             self._queue.expire(self.now)
 
     def _plan(self, at: float, number: int | None, seconds: float) -> None:
@@ -148,7 +148,7 @@
             self._plan(self.now + work, number, work)
 
         request = make_request(number, priority, objective_at)
-        self._queue.ask(replace(request, decide=decide), self.now)
+        self._queue.submit(replace(request, on_decision=decide), self.now)
         self._plan(self.now + self._rng.expovariate(self._rate), None, 0.0)
 
 
--- a/tests/router/test_request_log.py
+++ b/tests/router/test_request_log.py
@@ -76,7 +76,7 @@
     async def async_wait(self: PermitBroker, query: object) -> None:
         await asyncio.Event().wait()
 
-    monkeypatch.setattr(PermitBroker, "async_ask", async_wait)
+    monkeypatch.setattr(PermitBroker, "async_request_permit", async_wait)
     reply = await site.async_call("/read/x", via=INSTANCE, deadline=200)
     assert reply.status == 503
     (line,) = lines_of(logging, reply.headers["id"])
--- a/tests/router/test_target_exchange.py
+++ b/tests/router/test_target_exchange.py
@@ -61,7 +61,7 @@
 
     def is_held_against_target(self) -> bool:
         """Return whether the refusal counts as a failure of the target."""
-        (ended,) = self.permits.end.call_args_list
+        (ended,) = self.permits.release.call_args_list
         failures = self.exchange.load.failures_by_target.get(("desk", "a"), 0)
         assert bool(failures) == ended.kwargs["failed"]
         return bool(failures)
--- a/tests/router/test_transfer_times.py
+++ b/tests/router/test_transfer_times.py
@@ -40,7 +40,7 @@
     def __init__(self) -> None:
         self.queries: list[PermitQuery] = []
 
-    async def async_ask(self, query: PermitQuery) -> None:
+    async def async_request_permit(self, query: PermitQuery) -> None:
         """Record a query."""
         self.queries.append(query)
 
