--- a/swiftpin/discovery/const.py
+++ b/swiftpin/discovery/const.py
@@ -4,7 +4,7 @@
 
 from typing import Final
 
-RETURN_TIME: Final = 2.3
+REREGISTRATION_TIME: Final = 2.3
 """Seconds after the store's return within which live targets have registered again;
 the platform promises about two."""
 
--- a/swiftpin/discovery/evacuations.py
+++ b/swiftpin/discovery/evacuations.py
@@ -9,7 +9,7 @@
 from eliot import log_message
 
 from swiftpin.core import callback
-from swiftpin.discovery.const import GOSSIP_LAG, RETURN_TIME
+from swiftpin.discovery.const import GOSSIP_LAG, REREGISTRATION_TIME
 from swiftpin.model.store_revision import era_of
 from swiftpin.platform.platform_object import PlatformObject
 
@@ -43,7 +43,7 @@
         """Evacuations that a restored store does not list, by when it would again."""
 
     @callback
-    def set_bound(self, bound: float | None) -> None:
+    def set_limit(self, bound: float | None) -> None:
         """Set how long after its acceptance an evacuation may take, in seconds."""
         self._bound = bound
 
@@ -130,7 +130,7 @@
         return {zone: now - since for zone, since in self.since_by_zone.items()}
 
     @callback
-    def sweep(self, now: float) -> None:
+    def end_unconfirmed(self, now: float) -> None:
         """End evacuations that a restored store has not listed again."""
         due = {
             zone
@@ -149,7 +149,7 @@
         if not self.version or era_of(revision) <= era_of(self.version):
             return missing
         for zone in missing:
-            self._unconfirmed_until_by_zone.setdefault(zone, now + RETURN_TIME)
+            self._unconfirmed_until_by_zone.setdefault(zone, now + REREGISTRATION_TIME)
         return set()
 
     @callback
--- a/swiftpin/discovery/store_follower.py
+++ b/swiftpin/discovery/store_follower.py
@@ -91,7 +91,7 @@
     def is_skipped(self) -> bool:
         """Return whether others tell this instance of changes."""
 
-    def longest_pause(self, shortest: float) -> float:
+    def max_retry_delay(self, min_delay: float) -> float:
         """Return the seconds between two tries while the store does not answer."""
 
 
@@ -115,9 +115,9 @@
         return False
 
     @callback
-    def longest_pause(self, shortest: float) -> float:
+    def max_retry_delay(self, min_delay: float) -> float:
         """Return the usual pause."""
-        return shortest
+        return min_delay
 
 
 class StoreFollower:
@@ -164,9 +164,9 @@
                 self._revision = None
             except StoreError as err:
                 self._is_catching_up = True
-                self._health.note_failure(str(err), suspend_aware_now())
+                self._health.record_failure(str(err), suspend_aware_now())
                 await asyncio.sleep(pause)
-                pause = min(pause * 2, self._duty.longest_pause(LAST_PAUSE))
+                pause = min(pause * 2, self._duty.max_retry_delay(LAST_PAUSE))
             else:
                 pause = FIRST_PAUSE
                 await asyncio.sleep(CHANGE_PAUSE)
@@ -187,7 +187,7 @@
         if self._revision is None:
             listed = await self._client.async_list(self._kind)
             now = suspend_aware_now()
-            self._health.note_answer(now)
+            self._health.record_answer(now)
             self._follower.adopt_list(listed.objects, listed.revision, now)
             self._revision = listed.revision
             return
@@ -195,7 +195,7 @@
         if changes is None:
             return
         now = suspend_aware_now()
-        self._health.note_answer(now)
+        self._health.record_answer(now)
         self._follower.adopt_changes(
             changes.objects,
             changes.revision,
@@ -243,4 +243,4 @@
     @callback
     def _outages(self) -> tuple[float | None, int]:
         """Return a value that changes when the store is lost or comes back."""
-        return self._health.back_at, self._neighbours.store_reports
+        return self._health.recovered_at, self._neighbours.store_reports
--- a/swiftpin/discovery/store_health.py
+++ b/swiftpin/discovery/store_health.py
@@ -17,7 +17,7 @@
     def __init__(self) -> None:
         self.answered_at: float | None = None
         self.lost_at: float | None = None
-        self.back_at: float | None = None
+        self.recovered_at: float | None = None
 
     @property
     def is_lost(self) -> bool:
@@ -25,17 +25,17 @@
         return self.lost_at is not None
 
     @callback
-    def note_answer(self, now: float) -> None:
+    def record_answer(self, now: float) -> None:
         """Note that a call was answered."""
         self.answered_at = now
         if self.lost_at is None:
             return
         log_message(message_type="store_regained", lost_for=now - self.lost_at)
         self.lost_at = None
-        self.back_at = now
+        self.recovered_at = now
 
     @callback
-    def note_failure(self, reason: str, now: float) -> None:
+    def record_failure(self, reason: str, now: float) -> None:
         """Note that a call failed."""
         if self.lost_at is not None:
             return
@@ -43,13 +43,13 @@
         log_message(message_type="store_lost", level="warning", reason=reason)
 
     @callback
-    def note_restored(self, now: float) -> None:
+    def record_restore(self, now: float) -> None:
         """Note that the store came back from an older copy."""
-        self.back_at = now
+        self.recovered_at = now
 
     @callback
     def is_settling(self, now: float, settle_time: float) -> bool:
         """Return whether the store is away or has been back only for a short time."""
         if self.lost_at is not None:
             return True
-        return self.back_at is not None and now - self.back_at < settle_time
+        return self.recovered_at is not None and now - self.recovered_at < settle_time
--- a/swiftpin/discovery/target_directory.py
+++ b/swiftpin/discovery/target_directory.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from swiftpin.core import callback
-from swiftpin.discovery.const import DRAIN_MARGIN, RETURN_TIME
+from swiftpin.discovery.const import DRAIN_MARGIN, REREGISTRATION_TIME
 from swiftpin.discovery.entry_revisions import EntryRevisions
 from swiftpin.discovery.evacuations import Evacuations
 from swiftpin.discovery.freshness import Freshness, UpdateSource
@@ -18,7 +18,7 @@
 from swiftpin.model.target import Target
 from swiftpin.platform.platform_object import PlatformObject
 
-FIRST_LIST_SETTLE: Final = RETURN_TIME
+FIRST_LIST_SETTLE_TIME: Final = REREGISTRATION_TIME
 """Seconds after the first list within which targets may be missing from it."""
 
 
@@ -44,7 +44,7 @@
         self.seen_since_by_id = self._known.seen_since_by_id
         self.replaced_ids = self._known.replaced_ids
         self.on_change: Callable[[], None] = _ignore
-        self.unusable = UnusableEntries()
+        self.unusable_entries = UnusableEntries()
         self._revisions = EntryRevisions()
         self._freshness = Freshness()
         self._health = health
@@ -56,7 +56,7 @@
             known=self._known,
             revisions=self._revisions,
             freshness=self._freshness,
-            unusable=self.unusable,
+            unusable=self.unusable_entries,
             health=health,
         )
 
@@ -66,17 +66,17 @@
         return self._revisions.version
 
     @property
-    def picture_source(self) -> str:
+    def data_source(self) -> str:
         """Return who confirmed last what is known of the targets."""
         return self._freshness.source.value
 
     @callback
-    def picture_age(self, now: float) -> float:
+    def data_age(self, now: float) -> float:
         """Return for how many seconds a target may have changed unseen."""
         return self._freshness.age(now)
 
     @callback
-    def note_confirmed(self, at: float) -> None:
+    def record_confirmation(self, at: float) -> None:
         """Note that a neighbour knew nothing newer at a time."""
         self._freshness.confirm(at, UpdateSource.NEIGHBOUR)
 
@@ -133,12 +133,12 @@
     # What is known.
 
     @callback
-    def present_targets(self) -> list[Target]:
+    def listed_targets(self) -> list[Target]:
         """Return the targets whose entries are in the store and can be used."""
         return self._known.listed()
 
     @callback
-    def knows_targets(self, now: float) -> bool:
+    def is_likely_complete(self, now: float) -> bool:
         """Return whether no live target or evacuation is likely to be unknown.
 
         An instance that started in an outage of the store, or right after it, lists
@@ -146,7 +146,7 @@
         """
         if self._told_since is None or not self.evacuations.is_known:
             return False
-        return now - self._told_since >= FIRST_LIST_SETTLE
+        return now - self._told_since >= FIRST_LIST_SETTLE_TIME
 
     @callback
     def set_services(self, names: Set[str], now: float) -> None:
@@ -155,7 +155,7 @@
             self.on_change()
 
     @callback
-    def set_drain(self, drain: float) -> None:
+    def set_drain_limit(self, drain: float) -> None:
         """Set how long a leaving target may get requests, in seconds."""
         self._drain = drain
 
@@ -199,7 +199,7 @@
         return self.evacuations.may_send(target.zone, now)
 
     @callback
-    def cold_left(self, target: Target, cold_start: float, now: float) -> float:
+    def cold_time_left(self, target: Target, cold_start: float, now: float) -> float:
         """Return for how many seconds a target is still cold, 0 when it is not.
 
         `cold_start` is for how long targets of its service are cold after a start. They
@@ -210,14 +210,14 @@
         return max(until - now, evacuated_until + cold_start - now, 0.0)
 
     @callback
-    def targets_since(self, revision: int, now: float) -> list[Target]:
+    def targets_changed_since(self, revision: int, now: float) -> list[Target]:
         """Return the listed targets whose entries changed after a revision.
 
         They tell for how long they are still cold.
         """
         return [
-            replace(target, cold_for=self.cold_left(target, 0.0, now))
-            for target in self.present_targets()
+            replace(target, cold_for=self.cold_time_left(target, 0.0, now))
+            for target in self.listed_targets()
             if target.revision > revision
         ]
 
@@ -232,13 +232,13 @@
         )
 
     @callback
-    def note_replaced(self, target_id: str, now: float) -> None:
+    def mark_replaced(self, target_id: str, now: float) -> None:
         """Note that another target was met at a target's address: it is gone."""
         if self._known.note_replaced(target_id, now):
             self.on_change()
 
     @callback
-    def forget(self, target_id: str) -> None:
+    def remove(self, target_id: str) -> None:
         """Drop a life that is gone for certain."""
         target = self.targets_by_id.get(target_id)
         self._known.forget(target_id)
@@ -246,7 +246,7 @@
             self._revisions.forget(target.name)
 
     @callback
-    def sweep(self, now: float) -> None:
+    def expire_targets(self, now: float) -> None:
         """Take targets for gone that did not come back, and drop those of long ago."""
         for target_id, seen_at in self._known.missing_since_by_id.items():
             if target_id not in self.leaving_since_by_id and self._had_time(
@@ -254,10 +254,10 @@
             ):
                 self._known.note_leaving(target_id, "not back after an outage", seen_at)
                 self.on_change()
-        if self._health.is_settling(now, RETURN_TIME):
+        if self._health.is_settling(now, REREGISTRATION_TIME):
             return
         for target in self._known.ended_long_ago(now):
-            self.forget(target.id)
+            self.remove(target.id)
 
     @callback
     def _had_time(self, missing_since: float, now: float) -> bool:
@@ -267,9 +267,9 @@
         answers, that an entry is missing; it must not wait for its own store's return.
         It waits while nobody could tell it of the target's return.
         """
-        if not self._health.is_settling(now, RETURN_TIME):
+        if not self._health.is_settling(now, REREGISTRATION_TIME):
             return True
-        return self._freshness.confirmed_at >= missing_since + RETURN_TIME
+        return self._freshness.confirmed_at >= missing_since + REREGISTRATION_TIME
 
 
 @callback
--- a/swiftpin/discovery/target_updates.py
+++ b/swiftpin/discovery/target_updates.py
@@ -5,7 +5,7 @@
 from eliot import log_message
 
 from swiftpin.core import callback
-from swiftpin.discovery.const import GOSSIP_LAG, RETURN_TIME
+from swiftpin.discovery.const import GOSSIP_LAG, REREGISTRATION_TIME
 from swiftpin.discovery.entry_revisions import EntryRevisions
 from swiftpin.discovery.freshness import Freshness, UpdateSource
 from swiftpin.discovery.known_targets import KnownTargets
@@ -124,7 +124,7 @@
         known = self._revisions.version
         if not known or era_of(revision) <= era_of(known):
             return
-        self._health.note_restored(now)
+        self._health.record_restore(now)
         log_message(
             message_type="targets_in_doubt",
             level="warning",
@@ -211,7 +211,7 @@
         if life.id in self._known.missing_since_by_id:
             return
         self._known.missing_since_by_id[life.id] = now
-        if self._health.is_settling(now, RETURN_TIME):
+        if self._health.is_settling(now, REREGISTRATION_TIME):
             log_message(
                 message_type="target_unlisted", target=life.id, revision=revision
             )
--- a/swiftpin/keyranges/assignment_record.py
+++ b/swiftpin/keyranges/assignment_record.py
@@ -84,9 +84,9 @@
             # assigner, whose answer was lost, was applied late.
             return await self._async_read_back(content, str(err))
         except StoreError as err:
-            self._health.note_failure(str(err), suspend_aware_now())
+            self._health.record_failure(str(err), suspend_aware_now())
             return await self._async_read_back(content, str(err))
-        self._health.note_answer(suspend_aware_now())
+        self._health.record_answer(suspend_aware_now())
         return True
 
     async def _async_write(self, content: dict[str, Any]) -> None:
--- a/swiftpin/keyranges/granter.py
+++ b/swiftpin/keyranges/granter.py
@@ -198,7 +198,7 @@
             return
         log_message(message_type="target_replaced", target=target.id, by=found_name)
         self._sessions.get_or_create(target.id).is_gone = True
-        self._directory.note_replaced(target.id, suspend_aware_now())
+        self._directory.mark_replaced(target.id, suspend_aware_now())
 
     @callback
     def _hold_time(self, session: TargetSession, now: float) -> float:
--- a/swiftpin/keyranges/lease_election.py
+++ b/swiftpin/keyranges/lease_election.py
@@ -182,7 +182,7 @@
         try:
             await self._store.async_read()
         except StoreError as err:
-            self._health.note_failure(str(err), suspend_aware_now())
+            self._health.record_failure(str(err), suspend_aware_now())
 
     async def async_give_up(self) -> None:
         """Let another instance take over at once; grants stay valid until they end."""
@@ -252,7 +252,7 @@
         try:
             await self._store.async_read()
         except StoreError as err:
-            self._health.note_failure(str(err), suspend_aware_now())
+            self._health.record_failure(str(err), suspend_aware_now())
             return self._poll_interval() * self._rng.uniform(0.8, 1.6)
         now = suspend_aware_now()
         view = self._view()
--- a/swiftpin/keyranges/lease_store.py
+++ b/swiftpin/keyranges/lease_store.py
@@ -84,7 +84,7 @@
             )
         except ObjectMissingError:
             now = suspend_aware_now()
-            self._health.note_answer(now)
+            self._health.record_answer(now)
             if self._era_without_record != self.era:
                 self._era_without_record = self.era
                 self.unchanged_since = now
@@ -92,7 +92,7 @@
             self._revision = None
             return
         now = suspend_aware_now()
-        self._health.note_answer(now)
+        self._health.record_answer(now)
         try:
             record = decode_lease(found.content)
         except ConfigurationError as err:
@@ -117,10 +117,10 @@
         except StoreConflictError as err:
             return await self._async_read_back(record, str(err))
         except StoreOutcomeUnknownError as err:
-            self._health.note_failure(str(err), suspend_aware_now())
+            self._health.record_failure(str(err), suspend_aware_now())
             return await self._async_read_back(record, str(err))
         except StoreError as err:
-            self._health.note_failure(str(err), suspend_aware_now())
+            self._health.record_failure(str(err), suspend_aware_now())
             return LeaseWriteOutcome.UNKNOWN
         self._revision = revision
         self._note_written(record, sent_at)
@@ -157,7 +157,7 @@
         try:
             await self.async_read()
         except StoreError as err:
-            self._health.note_failure(str(err), suspend_aware_now())
+            self._health.record_failure(str(err), suspend_aware_now())
             return LeaseWriteOutcome.UNKNOWN
         found = self.record
         is_restored_copy = self.was_restored if found is None else found.era < self.era
@@ -193,6 +193,6 @@
     @callback
     def _note_written(self, record: LeaseRecord, sent_at: float) -> None:
         """Note that a record of this instance was written."""
-        self._health.note_answer(suspend_aware_now())
+        self._health.record_answer(suspend_aware_now())
         self._note_record(record)
         self.unchanged_since = sent_at
--- a/swiftpin/keyranges/range_assigner.py
+++ b/swiftpin/keyranges/range_assigner.py
@@ -173,7 +173,7 @@
             await asyncio.sleep(PLAN_INTERVAL)
             now = suspend_aware_now()
             self.load.decay(now)
-            self._directory.sweep(now)
+            self._directory.expire_targets(now)
             self._prune_state(now)
             if not self._lease.is_held(now) or self._health.is_lost:
                 continue
@@ -192,7 +192,7 @@
         alternative: after a restart of all instances, no grant would be renewed for
         2.3 s.
         """
-        if self._directory.knows_targets(now):
+        if self._directory.is_likely_complete(now):
             return False
         return (
             not self._state.involved_targets() <= self._directory.targets_by_id.keys()
@@ -265,7 +265,7 @@
     def _is_cold(self, target: Target, now: float) -> bool:
         """Return whether a target has reduced capacity after its start."""
         cold_start = self._get_service_spec().cold_start
-        return self._directory.cold_left(target, cold_start, now) > 0
+        return self._directory.cold_time_left(target, cold_start, now) > 0
 
     @callback
     def _limited_targets(self, now: float) -> set[str]:
--- a/swiftpin/router/app.py
+++ b/swiftpin/router/app.py
@@ -70,7 +70,9 @@
         self._directory = TargetDirectory(
             self._health, settings.bounds.drain_limit, self._evacuations
         )
-        self._directory.unusable.on_unusable = self._metrics.record_unusable_entry
+        self._directory.unusable_entries.on_unusable = (
+            self._metrics.record_unusable_entry
+        )
         self._maps = KeyMaps()
         self._poison = PoisonDetector()
         self._fleet_size = FleetSize()
@@ -246,8 +248,8 @@
         )
         self._settings = settings
         self._assigner_factory.settings = settings
-        self._directory.set_drain(settings.bounds.drain_limit)
-        self._evacuations.set_bound(settings.bounds.evacuation_limit)
+        self._directory.set_drain_limit(settings.bounds.drain_limit)
+        self._evacuations.set_limit(settings.bounds.evacuation_limit)
         self._configuration.lag.set_apply_limit(settings.bounds.apply_limit)
         self._sender.retries.set_bounds(settings.bounds)
 
@@ -316,7 +318,7 @@
     ) -> ColdTargets:
         """Return the cold targets of a service and the limits that apply to them."""
         remaining_by_id = {
-            target.id: self._directory.cold_left(target, service.cold_start, now)
+            target.id: self._directory.cold_time_left(target, service.cold_start, now)
             for target in targets
         }
         return ColdTargets(
@@ -335,8 +337,8 @@
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(HOUSEKEEPING_INTERVAL)
-            self._directory.sweep(suspend_aware_now())
-            self._evacuations.sweep(suspend_aware_now())
+            self._directory.expire_targets(suspend_aware_now())
+            self._evacuations.end_unconfirmed(suspend_aware_now())
             # No change event marks the end of a target's drain time.
             self._update_permit_targets()
             self._clients.close_idle(loop.time())
--- a/swiftpin/router/decision_basis.py
+++ b/swiftpin/router/decision_basis.py
@@ -57,6 +57,6 @@
     return DecisionBasis(
         key_map=None if key_map is None else (key_map.term, key_map.number),
         targets=directory.version,
-        targets_age=directory.picture_age(suspend_aware_now()),
-        targets_source=directory.picture_source,
+        targets_age=directory.data_age(suspend_aware_now()),
+        targets_source=directory.data_source,
     )
--- a/swiftpin/router/gossip.py
+++ b/swiftpin/router/gossip.py
@@ -110,7 +110,7 @@
     def _confirm_targets(self) -> None:
         """Mark the target list as confirmed if the lease holder has this version."""
         if self.holder_view.confirmed_version() == self._directory.version:
-            self._directory.note_confirmed(suspend_aware_now() - GOSSIP_LAG)
+            self._directory.record_confirmation(suspend_aware_now() - GOSSIP_LAG)
 
     @callback
     def request_updates(self) -> None:
@@ -178,9 +178,9 @@
         update = pb.Update(
             targets_revision=self._directory.version,
             targets=encode_target_list(
-                self._directory.targets_since(request.targets, now)
+                self._directory.targets_changed_since(request.targets, now)
             ),
-            target_ids=[target.id for target in self._directory.present_targets()],
+            target_ids=[target.id for target in self._directory.listed_targets()],
         )
         return pb.Item(update=update)
 
--- a/swiftpin/router/target_exchange.py
+++ b/swiftpin/router/target_exchange.py
@@ -200,7 +200,7 @@
         target = self._directory.targets_by_id.get(permit.target)
         if target is not None and head.instance not in (None, target.name):
             # The target is gone and its address now belongs to another one.
-            self._directory.note_replaced(permit.target, suspend_aware_now())
+            self._directory.mark_replaced(permit.target, suspend_aware_now())
             reason = f"replaced by {head.instance}"
             self._record_failed_send(call, permit, StepFailure.REPLACED, reason)
             return
--- a/swiftpin/router/watch_duty.py
+++ b/swiftpin/router/watch_duty.py
@@ -91,12 +91,12 @@
         )
 
     @callback
-    def longest_pause(self, shortest: float) -> float:
+    def max_retry_delay(self, min_delay: float) -> float:
         """Return the seconds between two attempts while the store does not answer.
 
         `shortest` is the delay of an instance that watches for others.
         """
-        return MAX_RETRY_DELAY if self._is_exempt() else shortest
+        return MAX_RETRY_DELAY if self._is_exempt() else min_delay
 
     @callback
     def update_settled_version(self, now: float) -> None:
--- a/tests/discovery/test_evacuations.py
+++ b/tests/discovery/test_evacuations.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from swiftpin.discovery.const import GOSSIP_LAG, RETURN_TIME
+from swiftpin.discovery.const import GOSSIP_LAG, REREGISTRATION_TIME
 from swiftpin.discovery.evacuations import EVACUATION_LAG, Evacuations
 from swiftpin.model.store_revision import REVISIONS_PER_ERA
 from swiftpin.platform.platform_object import PlatformObject
@@ -84,7 +84,7 @@
     evacuations.adopt_changes(
         (entry("a", REVISIONS_PER_ERA + 10),), REVISIONS_PER_ERA + 10, 3.0
     )
-    evacuations.sweep(2.0 + RETURN_TIME)
+    evacuations.end_unconfirmed(2.0 + REREGISTRATION_TIME)
     assert evacuations.is_evacuated("a")
     assert not evacuations.is_evacuated("b")
 
@@ -105,5 +105,5 @@
     evacuations.adopt_changes((entry("a", 11),), 11, 1.0)
     evacuations.adopt_update({}, REVISIONS_PER_ERA + 9, 2.0)
     assert evacuations.is_evacuated("a")
-    evacuations.sweep(2.0 + RETURN_TIME)
+    evacuations.end_unconfirmed(2.0 + REREGISTRATION_TIME)
     assert not evacuations.is_evacuated("a")
--- a/tests/discovery/test_older_updates.py
+++ b/tests/discovery/test_older_updates.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from swiftpin.discovery.const import GOSSIP_LAG, RETURN_TIME
+from swiftpin.discovery.const import GOSSIP_LAG, REREGISTRATION_TIME
 from swiftpin.discovery.store_health import StoreHealth
 from swiftpin.discovery.target_directory import TargetDirectory
 from tests.discovery.conftest import DRAIN, entry, ids, removed, target
@@ -99,11 +99,11 @@
     while it still waited for lapsed entries; the wait ended 2 s later.
     Cause: the drain time was counted from the end of the wait.
     """
-    health.note_failure("away", 10.0)
-    health.note_answer(15.0)
+    health.record_failure("away", 10.0)
+    health.record_answer(15.0)
     directory.adopt_list((entry("a", 1), entry("b", 2)), 9, 15.0)
     directory.adopt_changes((removed("a", 10),), 10, 15.3)
-    directory.sweep(15.0 + RETURN_TIME)
+    directory.expire_targets(15.0 + REREGISTRATION_TIME)
     assert not directory.may_send("a", 15.3 + DRAIN)
 
 
@@ -116,13 +116,13 @@
     and went on telling that they knew nothing newer. Cause: a missing entry waited for
     the own store's return, which was 10 s away.
     """
-    health.note_failure("away", 10.0)
+    health.record_failure("away", 10.0)
     directory.adopt_update([], frozenset({"b"}), 9, 12.0)
     assert directory.may_send("a", 12.0)
-    directory.note_confirmed(12.0 + RETURN_TIME)
-    directory.sweep(12.0 + RETURN_TIME)
+    directory.record_confirmation(12.0 + REREGISTRATION_TIME)
+    directory.expire_targets(12.0 + REREGISTRATION_TIME)
     assert ids(directory) == {"b"}
-    assert not directory.may_send("a", 12.0 + RETURN_TIME)
+    assert not directory.may_send("a", 12.0 + REREGISTRATION_TIME)
 
 
 def test_lapsed_targets_serve_while_nobody_can_tell_of_their_return(
@@ -134,11 +134,11 @@
     store was lost again before they had registered. Cause: the time for their return
     ran on while nothing could tell of it.
     """
-    health.note_failure("away", 10.0)
-    health.note_answer(15.0)
+    health.record_failure("away", 10.0)
+    health.record_answer(15.0)
     directory.adopt_list((), 9, 15.0)
-    health.note_failure("away", 15.5)
-    directory.sweep(25.0)
+    health.record_failure("away", 15.5)
+    directory.expire_targets(25.0)
     assert ids(directory) == {"a", "b"}
     assert directory.may_send("a", 25.0)
 
@@ -151,7 +151,7 @@
     Sequence: the watch stood still for 3 s, in which the target began to drain; a list
     told of it at last. Cause: the drain time was counted from the list.
     """
-    directory.note_confirmed(10.0)
+    directory.record_confirmation(10.0)
     draining = entry("a", 5, state="draining")
     directory.adopt_list((draining, entry("b", 2)), 5, 13.0)
     assert not directory.may_send("a", 13.0)
--- a/tests/discovery/test_restored_store.py
+++ b/tests/discovery/test_restored_store.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from swiftpin.discovery.const import RETURN_TIME
+from swiftpin.discovery.const import REREGISTRATION_TIME
 from swiftpin.discovery.store_health import StoreHealth
 from swiftpin.discovery.target_directory import TargetDirectory
 from swiftpin.model.store_revision import make_revision
@@ -32,12 +32,12 @@
     """Targets that registered after the copy was made counted as gone."""
     directory.adopt_changes((entry("c", 40),), 40, 1.0)
     directory.adopt_list((entry("a", restored(1)),), restored(10), LATER)
-    directory.sweep(LATER + RETURN_TIME - 0.1)
+    directory.expire_targets(LATER + REREGISTRATION_TIME - 0.1)
     assert ids(directory) == {"a", "b", "c"}
     directory.adopt_changes(
-        (entry("c", restored(11)),), restored(11), LATER + RETURN_TIME - 0.1
+        (entry("c", restored(11)),), restored(11), LATER + REREGISTRATION_TIME - 0.1
     )
-    directory.sweep(LATER + RETURN_TIME + 0.1)
+    directory.expire_targets(LATER + REREGISTRATION_TIME + 0.1)
     assert ids(directory) == {"a", "c"}
 
 
--- a/tests/discovery/test_retiring_targets.py
+++ b/tests/discovery/test_retiring_targets.py
@@ -33,7 +33,7 @@
 
 def cold_left(directory: TargetDirectory, now: float) -> float:
     """Return for how long the target is cold."""
-    return directory.cold_left(directory.targets_by_id["a"], COLD_START, now)
+    return directory.cold_time_left(directory.targets_by_id["a"], COLD_START, now)
 
 
 def test_target_that_is_cold_again_is_known_to_be() -> None:
@@ -50,9 +50,9 @@
     """Guards against targets that seem cold for longer the later it is told."""
     directory = make_directory()
     directory.adopt_changes((cold_entry("a", 2, 3000),), 2, 10.0)
-    (told,) = directory.targets_since(1, 12.0)
+    (told,) = directory.targets_changed_since(1, 12.0)
     assert told.cold_for == 1.0
-    assert directory.targets_since(2, 12.0) == []
+    assert directory.targets_changed_since(2, 12.0) == []
 
 
 def test_targets_of_a_zone_that_is_taken_back_count_as_cold() -> None:
--- a/tests/discovery/test_store_follower.py
+++ b/tests/discovery/test_store_follower.py
@@ -167,8 +167,8 @@
     touch the watch, whose answer could not come any more.
     """
     assert await next_wait(store) == WATCH_WAIT
-    health.note_failure("away", 10.0)
-    health.note_answer(12.0)
+    health.record_failure("away", 10.0)
+    health.record_answer(12.0)
     assert await next_wait(store) < 1.0
 
 
@@ -206,7 +206,7 @@
     Cause: watches in an outage waited as long as others.
     """
     await next_wait(store)
-    health.note_failure("away", 10.0)
+    health.record_failure("away", 10.0)
     assert await next_wait(store) < 1.0
     store.answers.put_nowait(StoreUnavailableError("silent"))
     assert await next_wait(store) < 1.0
@@ -225,9 +225,9 @@
         """Return whether others watch."""
         return self.is_others
 
-    def longest_pause(self, shortest: float) -> float:
+    def max_retry_delay(self, min_delay: float) -> float:
         """Return the usual pause."""
-        return shortest
+        return min_delay
 
 
 async def test_watch_goes_on_from_what_others_told(
--- a/tests/discovery/test_target_directory.py
+++ b/tests/discovery/test_target_directory.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from swiftpin.discovery.const import GOSSIP_LAG, RETURN_TIME
+from swiftpin.discovery.const import GOSSIP_LAG, REREGISTRATION_TIME
 from swiftpin.discovery.store_health import StoreHealth
 from swiftpin.discovery.target_directory import TargetDirectory
 from tests.discovery.conftest import DRAIN, entry, ids, removed, target
@@ -38,12 +38,12 @@
     lacked them; the targets registered again within two seconds.
     Cause: a missing entry was taken for a target that left.
     """
-    health.note_failure("away", 10.0)
-    health.note_answer(15.0)
+    health.record_failure("away", 10.0)
+    health.record_answer(15.0)
     directory.adopt_list((entry("b", 9),), 9, 15.0)
     assert ids(directory) == {"a", "b"}
     directory.adopt_changes((entry("a", 10),), 10, 16.5)
-    directory.sweep(15.0 + RETURN_TIME + 1)
+    directory.expire_targets(15.0 + REREGISTRATION_TIME + 1)
     assert ids(directory) == {"a", "b"}
 
 
@@ -51,10 +51,10 @@
     directory: TargetDirectory, health: StoreHealth
 ) -> None:
     """One that is still missing after the time for its return has left."""
-    health.note_failure("away", 10.0)
-    health.note_answer(15.0)
+    health.record_failure("away", 10.0)
+    health.record_answer(15.0)
     directory.adopt_list((entry("b", 9),), 9, 15.0)
-    directory.sweep(15.0 + RETURN_TIME + 0.1)
+    directory.expire_targets(15.0 + REREGISTRATION_TIME + 0.1)
     assert ids(directory) == {"b"}
 
 
@@ -66,20 +66,20 @@
     entries had lapsed. Cause: it planned moves away from targets that it did not know.
     """
     directory = TargetDirectory(health, DRAIN)
-    assert not directory.knows_targets(15.0)
+    assert not directory.is_likely_complete(15.0)
     directory.adopt_list((entry("b", 9),), 9, 15.0)
-    assert not directory.knows_targets(15.0)
-    assert directory.knows_targets(15.0 + RETURN_TIME)
+    assert not directory.is_likely_complete(15.0)
+    assert directory.is_likely_complete(15.0 + REREGISTRATION_TIME)
 
 
 def test_targets_that_were_known_before_an_outage_are_known_after_it(
     directory: TargetDirectory, health: StoreHealth
 ) -> None:
     """Who knew them may assign keys at once."""
-    health.note_failure("away", 10.0)
-    health.note_answer(15.0)
+    health.record_failure("away", 10.0)
+    health.record_answer(15.0)
     directory.adopt_list((entry("b", 9),), 9, 15.0)
-    assert directory.knows_targets(15.0)
+    assert directory.is_likely_complete(15.0)
 
 
 def test_older_lists_and_changes_are_passed_over(directory: TargetDirectory) -> None:
--- a/tests/discovery/test_target_lives.py
+++ b/tests/discovery/test_target_lives.py
@@ -119,7 +119,7 @@
 ) -> None:
     """What is dropped is the life that ended."""
     restarting.adopt_changes((entry("a", 5, born=200),), 5, 10.0)
-    restarting.forget("a@100")
+    restarting.remove("a@100")
     restarting.adopt_changes((entry("a", 6, born=200, state="draining"),), 6, 11.0)
     assert restarting.is_leaving("a@200")
     assert "a@100" not in restarting.targets_by_id
--- a/tests/discovery/test_unusable_entries.py
+++ b/tests/discovery/test_unusable_entries.py
@@ -29,7 +29,7 @@
 def reasons_fixture(directory: TargetDirectory) -> list[str]:
     """Return a list to which each unusable entry's reason is added."""
     reasons: list[str] = []
-    directory.unusable.on_unusable = reasons.append
+    directory.unusable_entries.on_unusable = reasons.append
     return reasons
 
 
@@ -59,7 +59,7 @@
     assert directory.may_send("a", 10.5)
     assert not directory.may_send("a", 10.0 + DRAIN)
     assert directory.targets_by_id["a"].address == "a:1"
-    assert [target.id for target in directory.present_targets()] == ["b"]
+    assert [target.id for target in directory.listed_targets()] == ["b"]
     assert reasons == ["field"]
 
 
@@ -68,7 +68,7 @@
     directory.adopt_changes((spoilt("a", 4),), 4, 10.0)
     directory.adopt_changes((entry("a", 5),), 5, 11.0)
     assert ids(directory) == {"a", "b"}
-    assert len(directory.present_targets()) == 2
+    assert len(directory.listed_targets()) == 2
 
 
 def test_spoilt_entry_from_before_is_passed_over(
@@ -143,8 +143,8 @@
     directory: TargetDirectory, health: StoreHealth
 ) -> None:
     """What can't be read is not taken for an entry that lapsed."""
-    health.note_failure("away", 10.0)
-    health.note_answer(15.0)
+    health.record_failure("away", 10.0)
+    health.record_answer(15.0)
     directory.adopt_list((spoilt("a", 8), entry("b", 2)), 9, 15.0)
     assert ids(directory) == {"b"}
 
--- a/tests/discovery/test_update_sequences.py
+++ b/tests/discovery/test_update_sequences.py
@@ -126,4 +126,4 @@
         assert directory.version >= latest
         latest = directory.version
         assert ids(directory) == {found.id for found in history.targets_at(latest)}
-        assert {found.id for found in directory.present_targets()} == ids(directory)
+        assert {found.id for found in directory.listed_targets()} == ids(directory)
--- a/tests/keyranges/test_range_assigner.py
+++ b/tests/keyranges/test_range_assigner.py
@@ -10,7 +10,7 @@
 import pytest
 
 from swiftpin.discovery.store_health import StoreHealth
-from swiftpin.discovery.target_directory import FIRST_LIST_SETTLE, TargetDirectory
+from swiftpin.discovery.target_directory import FIRST_LIST_SETTLE_TIME, TargetDirectory
 from swiftpin.helpers.clock import suspend_aware_now
 from swiftpin.keyranges import range_assigner as range_assigner_module
 from swiftpin.keyranges.assignment import Assignment
@@ -203,4 +203,4 @@
     assert not assigner._may_miss_live_owners(10.0)
     del directory.targets_by_id["a"]
     assert assigner._may_miss_live_owners(10.0)
-    assert not assigner._may_miss_live_owners(10.0 + FIRST_LIST_SETTLE)
+    assert not assigner._may_miss_live_owners(10.0 + FIRST_LIST_SETTLE_TIME)
--- a/tests/router/site.py
+++ b/tests/router/site.py
@@ -130,7 +130,7 @@
         self._session: ClientSession | None = None
         monkeypatch.setattr(listeners, "METRICS_PORT", 0)
         monkeypatch.setattr(planned_stop, "BALANCER_REMOVAL_TIME", 0.2)
-        monkeypatch.setattr(directory_module, "FIRST_LIST_SETTLE", 0.0)
+        monkeypatch.setattr(directory_module, "FIRST_LIST_SETTLE_TIME", 0.0)
 
     def earn_retry_credit(self) -> None:
         """Count some requests at every instance, since a new one has no retries."""
--- a/tests/router/test_extension_votes.py
+++ b/tests/router/test_extension_votes.py
@@ -22,7 +22,7 @@
         """Count the probe and record an answer of the store, if it answers."""
         self.probes += 1
         if self.answers:
-            self.health.note_answer(self.clock)
+            self.health.record_answer(self.clock)
 
 
 def make_link(name: str, **heartbeat: object) -> PeerLink:
--- a/tests/router/test_gossip.py
+++ b/tests/router/test_gossip.py
@@ -122,7 +122,7 @@
     Any heartbeat of the lease holder counted as a confirmation.
     """
     confirmed: list[float] = []
-    directory.note_confirmed = confirmed.append
+    directory.record_confirmation = confirmed.append
     lost = make_holder(10)
     assert lost.heartbeat is not None
     lost.heartbeat.store_lost = True
@@ -147,7 +147,7 @@
     holder's lease was renewed before its watch was answered, so the holder confirmed an
     outdated version.
     """
-    directory.note_confirmed = lambda at: pytest.fail("nothing is confirmed yet")
+    directory.record_confirmation = lambda at: pytest.fail("nothing is confirmed yet")
     holder = make_holder(10)
     assert holder.heartbeat is not None
     links.live_links = lambda: [holder]
@@ -166,7 +166,7 @@
     The answers to all watches were lost at the same time, and the instances confirmed
     each other's outdated version.
     """
-    directory.note_confirmed = pytest.fail
+    directory.record_confirmation = pytest.fail
     links.live_links = lambda: [make_link("a", 10), make_link("b", 10)]
     gossip.request_updates()
     assert not gossip.holder_view.is_confirmed()
@@ -176,7 +176,7 @@
     gossip: Gossip, links: SimpleNamespace, directory: SimpleNamespace
 ) -> None:
     """The newer version may contain a target that has left."""
-    directory.note_confirmed = pytest.fail
+    directory.record_confirmation = pytest.fail
     links.live_links = lambda: [make_holder(12)]
     gossip.request_updates()
 
@@ -185,7 +185,7 @@
     gossip: Gossip, links: SimpleNamespace, directory: SimpleNamespace
 ) -> None:
     """Watches opened before such an event are opened again."""
-    directory.note_confirmed = lambda at: None
+    directory.record_confirmation = lambda at: None
     link = make_link("a", 10)
     assert link.heartbeat is not None
     links.live_links = lambda: [link]
@@ -228,7 +228,7 @@
     link.heartbeat.configuration = told
     links.live_links = lambda: [link]
     if is_lost:
-        gossip._health.note_failure("silent", 1.0)
+        gossip._health.record_failure("silent", 1.0)
     gossip.request_updates()
     assert gossip._configuration.lag.has_source is has_source
 
@@ -249,8 +249,8 @@
     gossip: Gossip, directory: SimpleNamespace, told: int, answers: int
 ) -> None:
     """Guards against a second list in answer to a repeated request."""
-    directory.present_targets = list
-    directory.targets_since = lambda revision, now: []
+    directory.listed_targets = list
+    directory.targets_changed_since = lambda revision, now: []
     link = FakeLink("a", targets=told)
     gossip.send_targets(link, pb.UpdateAsk(targets=8))
     assert [item.WhichOneof("body") for item in link.sent] == ["update"] * answers
--- a/tests/router/test_planned_stop.py
+++ b/tests/router/test_planned_stop.py
@@ -87,7 +87,7 @@
     A lease that is kept renews them.
     """
     instance = StoppingInstance(is_held=True)
-    instance.health.note_failure("no answer", 0.0)
+    instance.health.record_failure("no answer", 0.0)
     assert instance.health.is_lost
     await instance.stop.async_run(GRACE)
     assert instance.steps[-1] == "release the lease"
--- a/tests/router/test_restored_store.py
+++ b/tests/router/test_restored_store.py
@@ -133,7 +133,7 @@
 
     def is_known() -> bool:
         return all(
-            "later" in {found.name for found in router._directory.present_targets()}
+            "later" in {found.name for found in router._directory.listed_targets()}
             for router in routers
         )
 
--- a/tests/router/test_watch_duty.py
+++ b/tests/router/test_watch_duty.py
@@ -178,9 +178,9 @@
 ) -> None:
     """Guards against a member that considers the store lost forever."""
     link_all(links, WATCHERS)
-    health.note_failure("away", 10.0)
+    health.record_failure("away", 10.0)
     assert not duty.is_skipped()
-    health.note_answer(12.0)
+    health.record_answer(12.0)
     assert duty.is_skipped()
 
 
@@ -189,10 +189,10 @@
     make_duty: MakeDuty, members: int
 ) -> None:
     """Guards against hundreds of instances that each retry every second."""
-    assert make_duty("me", members, WATCHERS).longest_pause(1.0) == MAX_RETRY_DELAY
-    assert make_duty("issuer-0", members, WATCHERS).longest_pause(1.0) == 1.0
+    assert make_duty("me", members, WATCHERS).max_retry_delay(1.0) == MAX_RETRY_DELAY
+    assert make_duty("issuer-0", members, WATCHERS).max_retry_delay(1.0) == 1.0
     holder = make_duty("me", members, WATCHERS, holds_lease=True)
-    assert holder.longest_pause(1.0) == 1.0
+    assert holder.max_retry_delay(1.0) == 1.0
 
 
 async def test_all_issuers_watch_the_targets(
