--- a/swiftpin/discovery/__init__.py
+++ b/swiftpin/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Targets and configuration as the platform's store tells them."""
+"""Targets, evacuations and configuration read from the platform's store."""
--- a/swiftpin/discovery/entry_revisions.py
+++ b/swiftpin/discovery/entry_revisions.py
@@ -1,4 +1,4 @@
-"""Which updates of the targets' entries are newer than what is known."""
+"""Revisions of the targets' entries, to detect outdated updates."""
 
 from __future__ import annotations
 
@@ -10,59 +10,60 @@
 from swiftpin.discovery.freshness import UpdateSource
 from swiftpin.helpers.line_rate_limiter import LineRateLimiter
 
-REFUSED_LINES: Final = 5
-"""Lines a second about refused updates: a watch that is behind brings many."""
+MAX_STALE_LINES_PER_SECOND: Final = 5
+"""Limit on log lines about stale updates: a watch that lags behind delivers many."""
 
 
 class EntryRevisions:
-    """The store revision at which each name's entry, or its absence, was learnt.
+    """Store revision of the last known update of each name, including removals.
 
-    Lists, watches and neighbours overtake each other. Taken as they come, an older one
-    would bring a removed target back, and requests would go to it long after it left.
+    Updates from lists, watches and neighbours may arrive out of order. If an older
+    update were applied, a removed target would reappear and would get requests long
+    after it left.
     """
 
     def __init__(self) -> None:
         self.version = 0
-        """Revision up to which all entries are known, whoever told them."""
+        """Revision up to which all entries are known, from any source."""
 
         self._revisions_by_name: dict[str, int] = {}
-        self._lines = LineRateLimiter(REFUSED_LINES)
+        self._line_limiter = LineRateLimiter(MAX_STALE_LINES_PER_SECOND)
 
     @callback
-    def of(self, name: str) -> int:
-        """Return the revision at which the last update of a name was learnt, else 0."""
+    def get_revision(self, name: str) -> int:
+        """Return the revision of the last update of a name, 0 if there was none."""
         return self._revisions_by_name.get(name, 0)
 
     @callback
-    def note(self, name: str, revision: int) -> None:
-        """Note what was learnt of a name at a revision."""
-        self._revisions_by_name[name] = max(self.of(name), revision)
+    def record(self, name: str, revision: int) -> None:
+        """Record the revision of an update of a name."""
+        self._revisions_by_name[name] = max(self.get_revision(name), revision)
 
     @callback
     def advance(self, revision: int) -> None:
-        """Note that all entries are known up to a revision."""
+        """Record that all entries are known up to a revision."""
         self.version = max(self.version, revision)
 
     @callback
-    def forget(self, name: str) -> None:
-        """Drop a name; updates of it count as old up to `version` from now on."""
+    def remove(self, name: str) -> None:
+        """Remove a name; its updates up to `version` count as outdated from now on."""
         self._revisions_by_name.pop(name, None)
 
     @callback
-    def is_new(self, name: str, revision: int, complete: int) -> bool:
-        """Return whether an entry of a revision is new.
+    def is_new(self, name: str, revision: int, complete_revision: int) -> bool:
+        """Return whether an entry is newer than the last known update of its name.
 
-        `complete` is the revision up to which all entries were known when it came: a
-        name that is not known by then had no entry.
+        `complete_revision` is the revision up to which all entries were known when the
+        entry arrived: a name without a known update had no entry at that revision.
         """
-        return revision > self._revisions_by_name.get(name, complete)
+        return revision > self._revisions_by_name.get(name, complete_revision)
 
     @callback
-    def log_refused(
+    def log_stale(
         self, source: UpdateSource, name: str, revision: int, known: int, now: float
     ) -> None:
-        """Write a line for an update that is older than what is known."""
-        if not self._lines.allow(now):
+        """Log an update that is older than the known state, within the line limit."""
+        if not self._line_limiter.allow(now):
             return
         log_message(
             message_type="stale_update_refused",
@@ -70,5 +71,5 @@
             target=name,
             revision=revision,
             known=known,
-            left_out=self._lines.take_suppressed_count(),
+            left_out=self._line_limiter.take_suppressed_count(),
         )
--- a/swiftpin/discovery/evacuations.py
+++ b/swiftpin/discovery/evacuations.py
@@ -1,4 +1,4 @@
-"""Availability zones whose targets are to get no requests."""
+"""Availability zones whose targets must not get requests."""
 
 from __future__ import annotations
 
@@ -14,59 +14,60 @@
 from swiftpin.platform.platform_object import PlatformObject
 
 EVACUATION_LAG: Final = 1.8
-"""Seconds from an evacuation's acceptance until this instance knows of it, at most,
-with a margin for requests that are on their way."""
+"""Maximum seconds from the acceptance of an evacuation until this instance learns of
+it, with a margin for requests in transit."""
 
 
 class Evacuations:
-    """Evacuated zones, from the store or from a neighbour.
+    """Evacuated zones, as reported by the store or a neighbour.
 
-    What was learnt at a revision of the store is never undone by older updates.
+    Updates older than the known revision of the store are ignored.
     """
 
-    def __init__(self, bound: float | None) -> None:
+    def __init__(self, limit: float | None) -> None:
         self.since_by_zone: dict[str, float] = {}
-        """When each evacuation became known, to whichever instance was first."""
+        """Time at which the first instance learnt of each evacuation."""
 
         self.ended_at_by_zone: dict[str, float] = {}
-        """When targets of a zone were last allowed requests again."""
+        """Time at which the last evacuation of each zone ended."""
 
         self.version = 0
         """Revision of the store up to which evacuations are known."""
 
         self.changed_version = 0
-        """The version at which an evacuation began or ended last."""
+        """Version at which an evacuation last started or ended."""
 
         self.on_change: Callable[[], None] = _ignore
-        self._bound = bound
+        self._limit = limit
         self._unconfirmed_until_by_zone: dict[str, float] = {}
-        """Evacuations that a restored store does not list, by when it would again."""
+        """Evacuations missing from a restored store, with the time at which they count
+        as ended unless the store lists them again."""
 
     @callback
-    def set_limit(self, bound: float | None) -> None:
-        """Set how long after its acceptance an evacuation may take, in seconds."""
-        self._bound = bound
+    def set_limit(self, limit: float | None) -> None:
+        """Set the seconds from its acceptance in which an evacuation must complete."""
+        self._limit = limit
 
     @property
     def is_known(self) -> bool:
-        """Return whether the evacuations have been told, where there may be any."""
-        return self._bound is None or self.version > 0
+        """Return whether evacuations were received, or the platform has none."""
+        return self._limit is None or self.version > 0
 
     @callback
     def is_evacuated(self, zone: str) -> bool:
-        """Return whether a zone's targets are to get nothing new."""
+        """Return whether a zone is evacuated, so that its targets get no new work."""
         return zone in self.since_by_zone
 
     @callback
     def may_send(self, zone: str, now: float) -> bool:
-        """Return whether the targets of a zone may still get requests.
+        """Return whether requests may still be sent to the targets of a zone.
 
         Keys of an evacuated zone are served by their owners until they have moved.
         """
         since = self.since_by_zone.get(zone)
-        if since is None or self._bound is None:
+        if since is None or self._limit is None:
             return True
-        return now - since < self._bound - EVACUATION_LAG
+        return now - since < self._limit - EVACUATION_LAG
 
     # Updates.
 
@@ -74,13 +75,13 @@
     def adopt_list(
         self, objects: tuple[PlatformObject, ...], revision: int, now: float
     ) -> None:
-        """Take all evacuations as they were at a revision."""
+        """Adopt the complete list of evacuations at a revision."""
         if revision < self.version:
             return
-        listed = {found.name for found in objects if _is_present(found)}
-        ended = self._ended(listed, revision, now)
+        listed = {item.name for item in objects if _is_present(item)}
+        ended = self._find_ended(listed, revision, now)
         self.version = revision
-        self._change(listed, ended, now)
+        self._apply(listed, ended, now)
 
     @callback
     def adopt_changes(
@@ -91,12 +92,12 @@
         *,
         is_catching_up: bool = False,
     ) -> None:
-        """Take the changes that a watch brought, up to a revision."""
+        """Adopt the changes returned by a watch, up to a revision."""
         if revision < self.version:
             return
-        is_present_by_zone = {found.name: _is_present(found) for found in objects}
+        is_present_by_zone = {item.name: _is_present(item) for item in objects}
         self.version = revision
-        self._change(
+        self._apply(
             {zone for zone, present in is_present_by_zone.items() if present},
             {zone for zone, present in is_present_by_zone.items() if not present},
             now,
@@ -104,46 +105,47 @@
 
     @callback
     def resume_revision(self, revision: int) -> int | None:
-        """Return the revision from which a watch is to go on."""
+        """Return the revision from which to resume a watch."""
         return max(revision, self.version)
 
     @callback
     def adopt_update(
         self, ages_by_zone: Mapping[str, float], revision: int, now: float
     ) -> None:
-        """Take what a neighbour knows that saw a later revision.
+        """Adopt the evacuations known to a neighbour that has seen a later revision.
 
-        `ages_by_zone` tells for how many seconds each evacuation has been known.
+        `ages_by_zone` holds the seconds for which each evacuation has been known.
         """
         if revision <= self.version:
             return
-        ended = self._ended(ages_by_zone.keys(), revision, now)
+        ended = self._find_ended(ages_by_zone.keys(), revision, now)
         self.version = revision
-        self._change(set(ages_by_zone), ended, now)
+        self._apply(set(ages_by_zone), ended, now)
         for zone, age in ages_by_zone.items():
-            known = self.since_by_zone[zone]
-            self.since_by_zone[zone] = min(known, now - age - GOSSIP_LAG)
+            since = self.since_by_zone[zone]
+            self.since_by_zone[zone] = min(since, now - age - GOSSIP_LAG)
 
     @callback
     def ages_by_zone(self, now: float) -> dict[str, float]:
-        """Return for how many seconds each evacuation has been known."""
+        """Return the seconds for which each evacuation has been known."""
         return {zone: now - since for zone, since in self.since_by_zone.items()}
 
     @callback
     def end_unconfirmed(self, now: float) -> None:
-        """End evacuations that a restored store has not listed again."""
-        due = {
+        """End evacuations that a restored store has not listed again in time."""
+        expired = {
             zone
             for zone, until in self._unconfirmed_until_by_zone.items()
             if now >= until
         }
-        self._change(set(), due, now)
+        self._apply(set(), expired, now)
 
     @callback
-    def _ended(self, listed: Set[str], revision: int, now: float) -> set[str]:
-        """Return the evacuations that are over, as all are told at a revision.
+    def _find_ended(self, listed: Set[str], revision: int, now: float) -> set[str]:
+        """Return the evacuations missing from a complete list at a revision.
 
-        What the operators wrote since a restored store's copy is written again.
+        None has ended yet if the store was restored: evacuations written since its
+        backup are expected to be written again.
         """
         missing = self.since_by_zone.keys() - listed
         if not self.version or era_of(revision) <= era_of(self.version):
@@ -153,38 +155,38 @@
         return set()
 
     @callback
-    def _change(self, begun: set[str], ended: set[str], now: float) -> None:
-        """Note which evacuations there are, and which are over."""
-        before = set(self.since_by_zone)
-        for zone in begun:
+    def _apply(self, started: set[str], ended: set[str], now: float) -> None:
+        """Record started and ended evacuations; log and report any difference."""
+        previous = set(self.since_by_zone)
+        for zone in started:
             self._unconfirmed_until_by_zone.pop(zone, None)
             self.since_by_zone.setdefault(zone, now)
         for zone in ended:
             self._unconfirmed_until_by_zone.pop(zone, None)
-        for zone in ended & before:
+        for zone in ended & previous:
             del self.since_by_zone[zone]
             self.ended_at_by_zone[zone] = now
-        if before == self.since_by_zone.keys():
+        if previous == self.since_by_zone.keys():
             return
         self.changed_version = self.version
         log_message(
             message_type="evacuations_changed",
             zones=sorted(self.since_by_zone),
-            before=sorted(before),
+            before=sorted(previous),
             revision=self.version,
         )
         self.on_change()
 
     @callback
     def ended_at(self, zone: str) -> float:
-        """Return when a zone's evacuation ended, minus infinity if there was none."""
+        """Return when the last evacuation of a zone ended, minus infinity if never."""
         return self.ended_at_by_zone.get(zone, -math.inf)
 
 
 @callback
-def _is_present(found: PlatformObject) -> bool:
-    """Return whether an object of the store names an evacuated zone."""
-    return bool(found.name) and not found.is_deleted
+def _is_present(item: PlatformObject) -> bool:
+    """Return whether a store object exists and names an evacuated zone."""
+    return bool(item.name) and not item.is_deleted
 
 
 @callback
--- a/swiftpin/discovery/freshness.py
+++ b/swiftpin/discovery/freshness.py
@@ -1,4 +1,4 @@
-"""How old what is known of the targets may be."""
+"""Age of the known state of the targets."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class UpdateSource(Enum):
-    """Who told what is known."""
+    """Source of the known state."""
 
     NONE = "none"
     LIST = "store list"
@@ -18,7 +18,7 @@
 
 
 class Freshness:
-    """The last time at which what is known was certainly all that there was."""
+    """Last time at which the known state was confirmed to be complete."""
 
     def __init__(self) -> None:
         self.confirmed_at = -math.inf
@@ -26,22 +26,22 @@
 
     @callback
     def confirm(self, at: float, source: UpdateSource) -> None:
-        """Note that nothing else had happened until a time."""
+        """Record that a source confirmed the state as complete up to a time."""
         if at > self.confirmed_at:
             self.confirmed_at = at
             self.source = source
 
     @callback
     def age(self, now: float) -> float:
-        """Return for how many seconds something may have happened unseen."""
+        """Return the seconds since the last confirmation."""
         return max(now - self.confirmed_at, 0.0)
 
     @callback
-    def unseen_since(self, now: float) -> float:
-        """Return since when something that is learnt only now may have been so.
+    def earliest_change(self, now: float) -> float:
+        """Return the earliest time at which a change detected now may have occurred.
 
-        Counted from when it is learnt, a target that left while nothing was heard would
-        get requests for longer than it said that it takes them.
+        If the drain time of a target that left unnoticed were counted from the
+        detection, the target would get requests for longer than it accepts them.
         """
         if math.isinf(self.confirmed_at):
             return now
--- a/swiftpin/discovery/known_targets.py
+++ b/swiftpin/discovery/known_targets.py
@@ -1,4 +1,4 @@
-"""Lives of targets that are known, and what has become of them."""
+"""Known lives of targets and their state."""
 
 from __future__ import annotations
 
@@ -11,36 +11,36 @@
 from swiftpin.model.store_revision import era_of
 from swiftpin.model.target import Target
 
-FORGET_AFTER: Final = 120.0
-"""Seconds after which a life that has ended is dropped: beyond every grant and request,
-which end within 10 s."""
+RETENTION_TIME: Final = 120.0
+"""Seconds after which a terminated life is removed: longer than any grant or request,
+which end within 10 seconds."""
 
 
 class KnownTargets:
-    """Lives by id, and the present life of each name."""
+    """Target lives by id, and the current life of each name."""
 
     def __init__(self) -> None:
         self.targets_by_id: dict[str, Target] = {}
         self.seen_since_by_id: dict[str, float] = {}
         self.leaving_since_by_id: dict[str, float] = {}
         self.missing_since_by_id: dict[str, float] = {}
-        """When the entry was first seen missing, of lives whose entry is missing."""
+        """Time since which the entry of a life has been missing from the store."""
 
         self.cold_until_by_id: dict[str, float] = {}
-        """Until when targets said they would be cold."""
+        """Time until which each target declared itself cold."""
 
         self.unusable_ids: set[str] = set()
-        """Lives whose entry is there and can't be used."""
+        """Lives whose entry exists but can't be used."""
 
         self.replaced_ids: set[str] = set()
-        """Lives that have ended for certain: what was granted to them ended too."""
+        """Lives known to have terminated; all their grants ended with them."""
 
         self._service_names: frozenset[str] = frozenset()
         self._ids_by_name: dict[str, str] = {}
-        """The newest life of each name."""
+        """Id of the current life of each name."""
 
     @callback
-    def present_life(self, name: str) -> Target | None:
+    def current_life(self, name: str) -> Target | None:
         """Return the newest life of a name."""
         target_id = self._ids_by_name.get(name)
         return None if target_id is None else self.targets_by_id[target_id]
@@ -51,7 +51,7 @@
         return set(self._ids_by_name)
 
     @callback
-    def listed(self) -> list[Target]:
+    def listed_targets(self) -> list[Target]:
         """Return the lives whose entries are in the store and can be used."""
         return [
             self.targets_by_id[target_id]
@@ -62,26 +62,27 @@
 
     @callback
     def set_services(self, names: Set[str], now: float) -> bool:
-        """Take the names of the declared services; return whether some are new.
+        """Set the names of the declared services; return whether any is new.
 
-        Until a service is declared, an entry of it replaces nobody at its address: it
-        may be another writer's, and would end a live target for all instances.
+        An entry of an undeclared service replaces no target at its address. Another
+        writer may have created it, and a live target would count as terminated on all
+        instances.
         """
         added = names - self._service_names
         self._service_names = frozenset(names)
         for target in list(self.targets_by_id.values()):
             if target.service in added:
-                self._note_same_address(target, now)
+                self._mark_replaced_at_address(target, now)
         return bool(added)
 
     @callback
     def put(self, target: Target, now: float) -> None:
-        """Take a target as its entry tells it."""
-        former = self.present_life(target.name)
-        if former is not None and former.id != target.id:
-            self._end(former, target, now)
+        """Add or update a target from its entry."""
+        previous = self.current_life(target.name)
+        if previous is not None and previous.id != target.id:
+            self._mark_restarted(previous, target, now)
         if target.id not in self.targets_by_id:
-            self._note_same_address(target, now)
+            self._mark_replaced_at_address(target, now)
             self.seen_since_by_id[target.id] = now
             log_message(
                 message_type="target_found",
@@ -91,14 +92,14 @@
                 revision=target.revision,
             )
         self.targets_by_id[target.id] = target
-        self._note_cold(target, now)
+        self._update_cold_until(target, now)
         self._ids_by_name[target.name] = target.id
         self.missing_since_by_id.pop(target.id, None)
         self.unusable_ids.discard(target.id)
 
     @callback
-    def _note_cold(self, target: Target, now: float) -> None:
-        """Note until when a target is cold; it may be so more than once."""
+    def _update_cold_until(self, target: Target, now: float) -> None:
+        """Record until when a target is cold; it may become cold repeatedly."""
         if target.cold_for and self.cold_until_by_id.get(target.id, now) <= now:
             log_message(
                 message_type="target_cold", target=target.id, seconds=target.cold_for
@@ -106,16 +107,16 @@
         self.cold_until_by_id[target.id] = now + target.cold_for
 
     @callback
-    def note_leaving(
+    def mark_leaving(
         self, target_id: str, reason: str, since: float, revision: int = 0
     ) -> None:
-        """Note that a target leaves, since the earliest time that is told.
+        """Mark a target as leaving, since the earliest reported time.
 
-        `revision` is that of the store at which it was learnt, 0 if it was met.
+        `revision` is the store revision that showed it, 0 if there was none.
         """
-        known = self.leaving_since_by_id.get(target_id)
-        if known is not None:
-            self.leaving_since_by_id[target_id] = min(known, since)
+        known_since = self.leaving_since_by_id.get(target_id)
+        if known_since is not None:
+            self.leaving_since_by_id[target_id] = min(known_since, since)
             return
         self.leaving_since_by_id[target_id] = since
         log_message(
@@ -127,25 +128,25 @@
         )
 
     @callback
-    def note_back(self, target_id: str) -> None:
-        """Note that a target serves, unless it has ended."""
+    def mark_serving(self, target_id: str) -> None:
+        """Mark a target as no longer leaving, unless its life has terminated."""
         if target_id in self.replaced_ids:
             return
         if self.leaving_since_by_id.pop(target_id, None) is not None:
             log_message(message_type="target_back", target=target_id)
 
     @callback
-    def note_replaced(self, target_id: str, now: float) -> bool:
-        """Note that a life has ended; return whether that is new."""
+    def mark_replaced(self, target_id: str, now: float) -> bool:
+        """Mark a life as terminated; return whether this was not known before."""
         if target_id in self.replaced_ids:
             return False
         self.replaced_ids.add(target_id)
-        self.note_leaving(target_id, "replaced at its address", now)
+        self.mark_leaving(target_id, "replaced at its address", now)
         return True
 
     @callback
-    def forget(self, target_id: str) -> None:
-        """Drop a life."""
+    def remove(self, target_id: str) -> None:
+        """Remove a life."""
         target = self.targets_by_id.pop(target_id, None)
         if target is not None and self._ids_by_name.get(target.name) == target_id:
             del self._ids_by_name[target.name]
@@ -157,45 +158,45 @@
         self.replaced_ids.discard(target_id)
 
     @callback
-    def ended_long_ago(self, now: float) -> list[Target]:
-        """Return lives that nothing needs any more: their entries went long ago."""
+    def expired_targets(self, now: float) -> list[Target]:
+        """Return the lives without an entry that left over `RETENTION_TIME` ago."""
         return [
             target
             for target_id, target in self.targets_by_id.items()
             if target_id in self.missing_since_by_id
-            and now - self.leaving_since_by_id.get(target_id, now) > FORGET_AFTER
+            and now - self.leaving_since_by_id.get(target_id, now) > RETENTION_TIME
         ]
 
     @callback
-    def _end(self, former: Target, newcomer: Target, now: float) -> None:
-        """End a life whose name another one bears by now."""
+    def _mark_restarted(self, previous: Target, restarted: Target, now: float) -> None:
+        """Mark a life as terminated because its target restarted."""
         log_message(
             message_type="target_restarted",
-            target=newcomer.id,
-            former=former.id,
-            revision=newcomer.revision,
+            target=restarted.id,
+            former=previous.id,
+            revision=restarted.revision,
         )
-        self.replaced_ids.add(former.id)
-        self.missing_since_by_id.setdefault(former.id, now)
-        self.note_leaving(former.id, "started again", now, newcomer.revision)
+        self.replaced_ids.add(previous.id)
+        self.missing_since_by_id.setdefault(previous.id, now)
+        self.mark_leaving(previous.id, "started again", now, restarted.revision)
 
     @callback
-    def _note_same_address(self, newcomer: Target, now: float) -> None:
-        """Note which of two targets at one address is gone: the older entry's.
+    def _mark_replaced_at_address(self, new_target: Target, now: float) -> None:
+        """Mark the target with the older entry as replaced if two share an address.
 
-        A list is in the order of names; it may name a target that crashed after the one
-        that has its address by now. Entries of services that nobody declared don't
-        count.
+        The older entry may belong to the new target: a list is sorted by name, so a
+        crashed target may follow the one that now has its address. Entries of
+        undeclared services are ignored.
         """
-        if newcomer.service not in self._service_names:
+        if new_target.service not in self._service_names:
             return
         for target in list(self.targets_by_id.values()):
-            if target.address != newcomer.address or target.id == newcomer.id:
+            if target.address != new_target.address or target.id == new_target.id:
                 continue
             if target.service not in self._service_names:
                 continue
-            if era_of(target.revision) != era_of(newcomer.revision):
-                # A restored store may still list who had the address before.
+            if era_of(target.revision) != era_of(new_target.revision):
+                # A restored store may still list the previous target at the address.
                 continue
-            is_older = target.revision < newcomer.revision
-            self.note_replaced(target.id if is_older else newcomer.id, now)
+            is_older = target.revision < new_target.revision
+            self.mark_replaced(target.id if is_older else new_target.id, now)
--- a/swiftpin/discovery/store_follower.py
+++ b/swiftpin/discovery/store_follower.py
@@ -1,4 +1,4 @@
-"""Following of all objects of one kind."""
+"""Follow all store objects of one kind with a list and watches."""
 
 from __future__ import annotations
 
@@ -17,42 +17,44 @@
 from swiftpin.store_errors import HistoryGoneError
 
 WATCH_WAIT: Final = 15.0
-"""Seconds that one watch waits. Each further call is paid for. A connection can fall
-silent without a reset; the lease's holder, who knows more, shows it within a second,
-and where it is not heard the watch waits for `UNCONFIRMED_WAIT` only."""
+"""Seconds for which one watch waits for a change. Longer watches need fewer calls,
+each of which has a cost. A connection may hang without a reset: the lease holder's
+heartbeats reveal this within a second, and without them a watch waits only for
+`UNCONFIRMED_WAIT`."""
 
 UNCONFIRMED_WAIT: Final = 0.8
 UNCONFIRMED_GRACE: Final = 0.6
-"""Seconds that a watch waits, and beyond that until its connection counts as silent,
-at the lease's holder and wherever that one does not confirm what is known: a change is
-then known 1.4 s after it, of 2 s for which a leaving target takes requests. The store
-takes 0.4 s when it is slowed a hundredfold. At one instance that is two calls a second,
-one for each kind."""
+"""Seconds for which a watch waits, and after that until its connection counts as
+hanging. These apply on the lease holder and on instances whose known state the holder
+does not confirm. A change is then known within 1.4 seconds, while a leaving target
+accepts requests for 2 seconds. The store takes 0.4 seconds to answer when slowed down
+a hundredfold. One instance makes 2 calls per second, one for each kind."""
 
-LOOK_PAUSE: Final = 0.25
-"""Seconds between two looks whether a watch under way is still to be relied on."""
+CHECK_INTERVAL: Final = 0.25
+"""Seconds between checks whether a pending watch is still reliable."""
 
-CHANGE_PAUSE: Final = 0.12
-"""Seconds after a change before the next watch: changes come in bursts, and each call
-is paid for by every instance. Far below any bound for acting on a change."""
+CHANGE_DELAY: Final = 0.12
+"""Seconds from a change to the next watch: changes come in bursts, and each call of
+each instance has a cost. This is far below any limit for reacting to a change."""
 
-FIRST_PAUSE: Final = 0.1
-LAST_PAUSE: Final = 1.0
-"""Seconds between tries while the store is away, doubled from the first to the last:
-a return is noticed within a second and 88 instances make under 100 calls a second."""
+MIN_RETRY_DELAY: Final = 0.1
+MAX_RETRY_DELAY: Final = 1.0
+"""Bounds in seconds of the delay between attempts while the store is unavailable. The
+delay is doubled after each attempt. A recovery is noticed within a second, and 88
+instances make fewer than 100 calls per second."""
 
 
-SKIP_PAUSE: Final = 0.3
-"""Seconds between two looks whether others still tell the changes."""
+SKIP_CHECK_INTERVAL: Final = 0.3
+"""Seconds between checks whether other instances still report the changes."""
 
 
 class Follower(Protocol):
-    """Takes what was read; called in the event loop."""
+    """Receiver of lists and changes; called in the event loop."""
 
     def adopt_list(
         self, objects: tuple[PlatformObject, ...], revision: int, now: float
     ) -> None:
-        """Take all objects as they were at a revision."""
+        """Adopt the complete list of objects at a revision."""
 
     def adopt_changes(
         self,
@@ -62,41 +64,42 @@
         *,
         is_catching_up: bool = False,
     ) -> None:
-        """Take what changed up to a revision, perhaps nothing.
+        """Adopt the changes up to a revision; there may be none.
 
-        `is_catching_up` tells that the changes may have been there for a while.
+        `is_catching_up` is set if the changes may have occurred a while ago.
         """
 
     def resume_revision(self, revision: int) -> int | None:
-        """Return the revision to go on from when others told the changes meanwhile.
+        """Return the revision to resume from after other instances reported changes.
 
-        `revision` is that of the last answer here; None asks for a new list.
+        `revision` is the revision of the last answer of the store. None requests a new
+        list.
         """
 
 
 class Neighbours(Protocol):
-    """What other instances say of the store."""
+    """Information from other instances about the store."""
 
     @property
     def store_reports(self) -> int:
-        """How often one of them said that it lost the store, or has it again."""
+        """Number of reports that an instance lost the store or regained it."""
 
     def is_confirmed(self) -> bool:
-        """Return whether one that hears the store would tell of a change."""
+        """Return whether an instance connected to the store would report a change."""
 
 
 class Duty(Protocol):
-    """Tells whether others watch the store for this instance."""
+    """Decides whether this instance has to watch the store itself."""
 
     def is_skipped(self) -> bool:
-        """Return whether others tell this instance of changes."""
+        """Return whether other instances report changes to this one."""
 
     def max_retry_delay(self, min_delay: float) -> float:
-        """Return the seconds between two tries while the store does not answer."""
+        """Return the maximum delay between attempts while the store is unavailable."""
 
 
 class NoNeighbours:
-    """Nobody who says anything."""
+    """Neighbours of an instance that gets no reports."""
 
     store_reports = 0
 
@@ -107,7 +110,7 @@
 
 
 class AlwaysWatch:
-    """The duty of an instance that nobody tells of changes."""
+    """Duty of an instance to which no other instance reports changes."""
 
     @callback
     def is_skipped(self) -> bool:
@@ -116,17 +119,17 @@
 
     @callback
     def max_retry_delay(self, min_delay: float) -> float:
-        """Return the usual pause."""
+        """Return the given delay."""
         return min_delay
 
 
 class StoreFollower:
-    """Lists a kind once, then watches it, and lists again when history is gone.
+    """Lists a kind once, then watches it; lists again when the history is gone.
 
-    A watch whose connection has fallen silent looks like one that sees no change. So a
-    long one is left open only while another would tell of a change. One that nobody
-    confirms any more, or that began before this instance or a neighbour lost the store,
-    is made anew: its answer may have been lost with the store.
+    A watch with a hanging connection looks the same as one without changes. Therefore
+    a long watch stays open only while another instance would report a change. The watch
+    is restarted if no instance confirms the known state any more, or if this instance
+    or a neighbour lost the store after it started: its answer may be lost too.
     """
 
     def __init__(
@@ -148,39 +151,39 @@
         self._revision: int | None = None
         self._is_catching_up = False
         self._was_skipped = False
-        """Whether others told the changes since the last answer."""
+        """Whether other instances reported the changes since the last answer."""
 
     async def async_run(self) -> None:
         """Follow until cancelled."""
-        pause = FIRST_PAUSE
+        delay = MIN_RETRY_DELAY
         while True:
-            if self._skips_watch():
+            if self._should_skip_watch():
                 self._is_catching_up = True
-                await asyncio.sleep(SKIP_PAUSE)
+                await asyncio.sleep(SKIP_CHECK_INTERVAL)
                 continue
             try:
-                await self._async_step()
+                await self._async_poll()
             except HistoryGoneError:
                 self._revision = None
             except StoreError as err:
                 self._is_catching_up = True
                 self._health.record_failure(str(err), suspend_aware_now())
-                await asyncio.sleep(pause)
-                pause = min(pause * 2, self._duty.max_retry_delay(LAST_PAUSE))
+                await asyncio.sleep(delay)
+                delay = min(delay * 2, self._duty.max_retry_delay(MAX_RETRY_DELAY))
             else:
-                pause = FIRST_PAUSE
-                await asyncio.sleep(CHANGE_PAUSE)
+                delay = MIN_RETRY_DELAY
+                await asyncio.sleep(CHANGE_DELAY)
 
     @callback
-    def _skips_watch(self) -> bool:
-        """Return whether others tell the changes at the moment."""
+    def _should_skip_watch(self) -> bool:
+        """Return whether other instances currently report the changes."""
         if self._revision is None or not self._duty.is_skipped():
             return False
         self._was_skipped = True
         return True
 
-    async def _async_step(self) -> None:
-        """Make one call and hand on what it brought."""
+    async def _async_poll(self) -> None:
+        """Make one call to the store and pass on the result."""
         if self._revision is not None and self._was_skipped:
             self._revision = self._follower.resume_revision(self._revision)
         self._was_skipped = False
@@ -203,13 +206,13 @@
             is_catching_up=self._is_catching_up,
         )
         self._is_catching_up = False
-        # An answer from behind must not turn the watch back.
+        # An outdated answer must not move the watch back.
         self._revision = max(self._revision, changes.revision)
 
     async def _async_watch(self, revision: int) -> ObjectChanges | None:
-        """Return the changes after a revision, None when the watch was given up."""
+        """Return the changes after a revision, None if the watch was abandoned."""
         is_long = self._is_reliable() and not self._is_catching_up
-        began_with = self._outages()
+        initial_marker = self._outage_marker()
         watch = asyncio.ensure_future(
             self._client.async_watch(self._kind, revision, WATCH_WAIT)
             if is_long
@@ -219,10 +222,10 @@
         )
         try:
             while not watch.done():
-                await asyncio.wait((watch,), timeout=LOOK_PAUSE)
+                await asyncio.wait((watch,), timeout=CHECK_INTERVAL)
                 if watch.done() or not is_long:
                     continue
-                if not self._is_reliable() or self._outages() != began_with:
+                if not self._is_reliable() or self._outage_marker() != initial_marker:
                     self._is_catching_up = True
                     log_message(
                         message_type="watch_given_up",
@@ -237,10 +240,10 @@
 
     @callback
     def _is_reliable(self) -> bool:
-        """Return whether a watch that falls silent would be noticed."""
+        """Return whether a hanging watch would be noticed."""
         return not self._health.is_lost and self._neighbours.is_confirmed()
 
     @callback
-    def _outages(self) -> tuple[float | None, int]:
-        """Return a value that changes when the store is lost or comes back."""
+    def _outage_marker(self) -> tuple[float | None, int]:
+        """Return a value that changes when the store is lost or recovers."""
         return self._health.recovered_at, self._neighbours.store_reports
--- a/swiftpin/discovery/store_health.py
+++ b/swiftpin/discovery/store_health.py
@@ -1,4 +1,4 @@
-"""Whether the store answers this instance."""
+"""Availability of the store as seen by this instance."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class StoreHealth:
-    """Notes when the store was lost and when it came back.
+    """Records when the store became unavailable and when it recovered.
 
-    All callers of the store report here, so that a list that was read right after an
-    outage is told from one that was read in calm times.
+    All code that calls the store reports its results here, so that a list read right
+    after an outage can be distinguished from one read in normal operation.
     """
 
     def __init__(self) -> None:
@@ -26,7 +26,7 @@
 
     @callback
     def record_answer(self, now: float) -> None:
-        """Note that a call was answered."""
+        """Record that a call was answered."""
         self.answered_at = now
         if self.lost_at is None:
             return
@@ -36,7 +36,7 @@
 
     @callback
     def record_failure(self, reason: str, now: float) -> None:
-        """Note that a call failed."""
+        """Record that a call failed."""
         if self.lost_at is not None:
             return
         self.lost_at = now
@@ -44,12 +44,12 @@
 
     @callback
     def record_restore(self, now: float) -> None:
-        """Note that the store came back from an older copy."""
+        """Record that the store was restored from a backup."""
         self.recovered_at = now
 
     @callback
     def is_settling(self, now: float, settle_time: float) -> bool:
-        """Return whether the store is away or has been back only for a short time."""
+        """Return whether the store is unavailable or recovered within `settle_time`."""
         if self.lost_at is not None:
             return True
         return self.recovered_at is not None and now - self.recovered_at < settle_time
--- a/swiftpin/discovery/target_directory.py
+++ b/swiftpin/discovery/target_directory.py
@@ -1,4 +1,4 @@
-"""Targets that are known, and which of them are leaving."""
+"""Directory of the known targets and their state."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 from swiftpin.platform.platform_object import PlatformObject
 
 FIRST_LIST_SETTLE_TIME: Final = REREGISTRATION_TIME
-"""Seconds after the first list within which targets may be missing from it."""
+"""Seconds after the first list for which live targets may be missing from it."""
 
 
 class TargetDirectory:
-    """Targets by id of their lives, from the store or from a neighbour.
+    """Targets by life id, as reported by the store or a neighbour.
 
-    What was learnt at a revision of the store is never undone by older updates, whoever
-    brings it. A target that leaves, by its own word or because its entry is gone or
-    can't be read, stays in `targets_by_id` with the time in `leaving_since_by_id`,
-    until nobody needs it: it may hold keys.
+    Updates older than the known revision of a target are ignored, whatever their
+    source. A target is leaving if it announced so, or if its entry was removed or can't
+    be used. It may hold keys, so it stays in `targets_by_id`, with the time in
+    `leaving_since_by_id`, until it is removed.
     """
 
     def __init__(
         self,
         health: StoreHealth,
-        drain: float,
+        drain_limit: float,
         evacuations: Evacuations | None = None,
     ) -> None:
         self.evacuations = evacuations or Evacuations(None)
@@ -48,15 +48,15 @@
         self._revisions = EntryRevisions()
         self._freshness = Freshness()
         self._health = health
-        self._drain = drain
-        self._told_since: float | None = None
-        """When the first targets were told."""
+        self._drain_limit = drain_limit
+        self._first_updated_at: float | None = None
+        """Time of the first update of the targets."""
 
         self._updates = TargetUpdates(
             known=self._known,
             revisions=self._revisions,
             freshness=self._freshness,
-            unusable=self.unusable_entries,
+            unusable_entries=self.unusable_entries,
             health=health,
         )
 
@@ -67,17 +67,17 @@
 
     @property
     def data_source(self) -> str:
-        """Return who confirmed last what is known of the targets."""
+        """Return the source that last confirmed the known targets."""
         return self._freshness.source.value
 
     @callback
     def data_age(self, now: float) -> float:
-        """Return for how many seconds a target may have changed unseen."""
+        """Return the seconds since the known targets were last confirmed."""
         return self._freshness.age(now)
 
     @callback
     def record_confirmation(self, at: float) -> None:
-        """Note that a neighbour knew nothing newer at a time."""
+        """Record that a neighbour knew no later revision at a time."""
         self._freshness.confirm(at, UpdateSource.NEIGHBOUR)
 
     # Updates.
@@ -86,8 +86,8 @@
     def adopt_list(
         self, objects: tuple[PlatformObject, ...], revision: int, now: float
     ) -> None:
-        """Take the whole list as it was at a revision."""
-        self._note_beginning(now)
+        """Adopt the complete list of entries at a revision."""
+        self._record_first_update(now)
         self._updates.adopt_list(objects, revision, now)
         self.on_change()
 
@@ -100,7 +100,7 @@
         *,
         is_catching_up: bool = False,
     ) -> None:
-        """Take the changes that a watch brought, up to a revision."""
+        """Adopt the changes returned by a watch, up to a revision."""
         self._updates.adopt_changes(
             objects, revision, now, is_catching_up=is_catching_up
         )
@@ -109,9 +109,9 @@
 
     @callback
     def resume_revision(self, revision: int) -> int | None:
-        """Return the revision from which a watch is to go on.
+        """Return the revision from which to resume a watch.
 
-        What neighbours told meanwhile is not asked for again.
+        Changes received from neighbours meanwhile are skipped.
         """
         return max(revision, self.version)
 
@@ -119,45 +119,45 @@
     def adopt_update(
         self, targets: list[Target], ids: frozenset[str], revision: int, now: float
     ) -> None:
-        """Take what a neighbour knows that saw a later revision."""
-        self._note_beginning(now)
+        """Adopt the targets known to a neighbour that has seen a later revision."""
+        self._record_first_update(now)
         self._updates.adopt_update(targets, ids, revision, now)
         self.on_change()
 
     @callback
-    def _note_beginning(self, now: float) -> None:
-        """Note when the first targets are told."""
-        if self._told_since is None:
-            self._told_since = now
+    def _record_first_update(self, now: float) -> None:
+        """Record the time of the first update."""
+        if self._first_updated_at is None:
+            self._first_updated_at = now
 
-    # What is known.
+    # Queries.
 
     @callback
     def listed_targets(self) -> list[Target]:
         """Return the targets whose entries are in the store and can be used."""
-        return self._known.listed()
+        return self._known.listed_targets()
 
     @callback
     def is_likely_complete(self, now: float) -> bool:
-        """Return whether no live target or evacuation is likely to be unknown.
+        """Return whether all live targets and evacuations are likely to be known.
 
-        An instance that started in an outage of the store, or right after it, lists
-        few targets: the entries of the others have lapsed, and it can't see that.
+        An instance that started during an outage of the store or right after it
+        receives an incomplete list, because entries of live targets have expired.
         """
-        if self._told_since is None or not self.evacuations.is_known:
+        if self._first_updated_at is None or not self.evacuations.is_known:
             return False
-        return now - self._told_since >= FIRST_LIST_SETTLE_TIME
+        return now - self._first_updated_at >= FIRST_LIST_SETTLE_TIME
 
     @callback
     def set_services(self, names: Set[str], now: float) -> None:
-        """Take the names of the services that the configuration declares."""
+        """Set the names of the services declared in the configuration."""
         if self._known.set_services(names, now):
             self.on_change()
 
     @callback
-    def set_drain_limit(self, drain: float) -> None:
-        """Set how long a leaving target may get requests, in seconds."""
-        self._drain = drain
+    def set_drain_limit(self, drain_limit: float) -> None:
+        """Set the seconds for which a leaving target may get requests."""
+        self._drain_limit = drain_limit
 
     @callback
     def serving_targets(self, service: str, now: float) -> list[Target]:
@@ -172,9 +172,9 @@
 
     @callback
     def retiring_targets(self, service: str, now: float) -> list[Target]:
-        """Return the targets of a service that get requests for their keys only.
+        """Return the leaving or evacuated targets of a service that may get requests.
 
-        They are leaving or evacuated.
+        They get requests only for the keys that they own.
         """
         return [
             target
@@ -189,31 +189,32 @@
 
     @callback
     def may_send(self, target_id: str, now: float) -> bool:
-        """Return whether a request may still go to a target."""
+        """Return whether a request may still be sent to a target."""
         target = self.targets_by_id.get(target_id)
         if target is None or target_id in self.replaced_ids:
             return False
         since = self.leaving_since_by_id.get(target_id)
-        if since is not None and now - since >= self._drain - DRAIN_MARGIN:
+        if since is not None and now - since >= self._drain_limit - DRAIN_MARGIN:
             return False
         return self.evacuations.may_send(target.zone, now)
 
     @callback
     def cold_time_left(self, target: Target, cold_start: float, now: float) -> float:
-        """Return for how many seconds a target is still cold, 0 when it is not.
+        """Return the seconds for which a target is still cold, 0 if it is not.
 
-        `cold_start` is for how long targets of its service are cold after a start. They
-        may be cold after an evacuation too, and an entry tells it late.
+        `cold_start` is the time in seconds for which targets of its service are cold
+        after a start. Targets may also be cold after an evacuation, and their entries
+        report this late.
         """
-        until = self._known.cold_until_by_id.get(target.id, now)
+        cold_until = self._known.cold_until_by_id.get(target.id, now)
         evacuated_until = self.evacuations.ended_at(target.zone)
-        return max(until - now, evacuated_until + cold_start - now, 0.0)
+        return max(cold_until - now, evacuated_until + cold_start - now, 0.0)
 
     @callback
     def targets_changed_since(self, revision: int, now: float) -> list[Target]:
         """Return the listed targets whose entries changed after a revision.
 
-        They tell for how long they are still cold.
+        Their `cold_for` is the time for which they are still cold.
         """
         return [
             replace(target, cold_for=self.cold_time_left(target, 0.0, now))
@@ -233,39 +234,39 @@
 
     @callback
     def mark_replaced(self, target_id: str, now: float) -> None:
-        """Note that another target was met at a target's address: it is gone."""
-        if self._known.note_replaced(target_id, now):
+        """Mark a target as terminated: another one was found at its address."""
+        if self._known.mark_replaced(target_id, now):
             self.on_change()
 
     @callback
     def remove(self, target_id: str) -> None:
-        """Drop a life that is gone for certain."""
+        """Remove a target life that is known to have terminated."""
         target = self.targets_by_id.get(target_id)
-        self._known.forget(target_id)
-        if target is not None and self._known.present_life(target.name) is None:
-            self._revisions.forget(target.name)
+        self._known.remove(target_id)
+        if target is not None and self._known.current_life(target.name) is None:
+            self._revisions.remove(target.name)
 
     @callback
     def expire_targets(self, now: float) -> None:
-        """Take targets for gone that did not come back, and drop those of long ago."""
-        for target_id, seen_at in self._known.missing_since_by_id.items():
-            if target_id not in self.leaving_since_by_id and self._had_time(
-                seen_at, now
+        """Mark targets that did not register again as leaving; remove expired lives."""
+        for target_id, since in self._known.missing_since_by_id.items():
+            if target_id not in self.leaving_since_by_id and self._is_overdue(
+                since, now
             ):
-                self._known.note_leaving(target_id, "not back after an outage", seen_at)
+                self._known.mark_leaving(target_id, "not back after an outage", since)
                 self.on_change()
         if self._health.is_settling(now, REREGISTRATION_TIME):
             return
-        for target in self._known.ended_long_ago(now):
+        for target in self._known.expired_targets(now):
             self.remove(target.id)
 
     @callback
-    def _had_time(self, missing_since: float, now: float) -> bool:
-        """Return whether a target whose entry is missing would be back by now.
+    def _is_overdue(self, missing_since: float, now: float) -> bool:
+        """Return whether a target with a missing entry had time to register again.
 
-        An instance that the store turns away learns from neighbours, whose store
-        answers, that an entry is missing; it must not wait for its own store's return.
-        It waits while nobody could tell it of the target's return.
+        An instance that has lost its connection to the store learns of the missing
+        entry from neighbours that have one. It must not wait for its own connection,
+        but it must wait until a neighbour could have reported the registration.
         """
         if not self._health.is_settling(now, REREGISTRATION_TIME):
             return True
--- a/swiftpin/discovery/target_updates.py
+++ b/swiftpin/discovery/target_updates.py
@@ -1,4 +1,4 @@
-"""Judging of what is told of the targets."""
+"""Applying updates of the targets that are newer than the known state."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 
 class TargetUpdates:
-    """Takes updates of the targets, from whomever, as far as they are newer.
+    """Applies updates of the targets from the store and from neighbours.
 
-    What was learnt at a revision of the store is never undone by older updates.
+    Updates older than the known revision of a target are ignored.
     """
 
     def __init__(
@@ -30,34 +30,34 @@
         known: KnownTargets,
         revisions: EntryRevisions,
         freshness: Freshness,
-        unusable: UnusableEntries,
+        unusable_entries: UnusableEntries,
         health: StoreHealth,
     ) -> None:
         self._known = known
         self._revisions = revisions
         self._freshness = freshness
-        self._unusable = unusable
+        self._unusable_entries = unusable_entries
         self._health = health
 
     @callback
     def adopt_list(
         self, objects: tuple[PlatformObject, ...], revision: int, now: float
     ) -> None:
-        """Take the whole list as it was at a revision."""
+        """Adopt the complete list of entries at a revision."""
         if revision < self._revisions.version:
-            # The watch that goes on from this list brings what it lacks.
-            self._revisions.log_refused(
+            # The watch that resumes at this list's revision returns what it lacks.
+            self._revisions.log_stale(
                 UpdateSource.LIST, "", revision, self._revisions.version, now
             )
             return
-        self._note_era(revision, now)
-        since = self._freshness.unseen_since(now)
-        present = [found for found in objects if not found.is_deleted]
+        self._detect_restore(revision, now)
+        since = self._freshness.earliest_change(now)
+        present = [item for item in objects if not item.is_deleted]
         for entry in present:
-            # A list as new as this is itself what is known of names that were not.
+            # The list is at least as new as the known state, so it may add any name.
             self._adopt_entry(entry, 0, now, since)
         for name in self._known.names() - {entry.name for entry in present}:
-            self._note_missing(name, revision, now, since)
+            self._mark_missing(name, revision, now, since)
         self._revisions.advance(revision)
         self._freshness.confirm(now, UpdateSource.LIST)
 
@@ -70,44 +70,44 @@
         *,
         is_catching_up: bool = False,
     ) -> None:
-        """Take the changes that a watch brought, up to a revision.
+        """Adopt the changes returned by a watch, up to a revision.
 
-        `is_catching_up` tells that the watch had stood still for a while.
+        `is_catching_up` is set if the watch was interrupted before.
         """
-        self._note_era(revision, now)
-        since = self._freshness.unseen_since(now) if is_catching_up else now
-        complete = self._revisions.version
-        for changed in objects:
-            if changed.is_deleted and changed.is_readable:
-                self._adopt_removal(changed, revision, now, since)
+        self._detect_restore(revision, now)
+        since = self._freshness.earliest_change(now) if is_catching_up else now
+        complete_revision = self._revisions.version
+        for item in objects:
+            if item.is_deleted and item.is_readable:
+                self._adopt_removal(item, revision, now, since)
             else:
-                self._adopt_entry(changed, complete, now, since)
-            self._revisions.advance(changed.revision)
-        if revision >= complete:
+                self._adopt_entry(item, complete_revision, now, since)
+            self._revisions.advance(item.revision)
+        if revision >= complete_revision:
             self._freshness.confirm(now, UpdateSource.WATCH)
 
     @callback
     def adopt_update(
         self, targets: list[Target], ids: frozenset[str], revision: int, now: float
     ) -> None:
-        """Take what a neighbour knows that saw a later revision.
+        """Adopt the targets known to a neighbour that has seen a later revision.
 
-        `targets` are those that changed, `ids` names the lives of all that there are.
+        `targets` holds the changed targets, `ids` the life ids of all targets.
         """
         if revision <= self._revisions.version:
-            self._revisions.log_refused(
+            self._revisions.log_stale(
                 UpdateSource.NEIGHBOUR, "", revision, self._revisions.version, now
             )
             return
-        self._note_era(revision, now)
-        since = self._freshness.unseen_since(now - GOSSIP_LAG)
-        complete = self._revisions.version
+        self._detect_restore(revision, now)
+        since = self._freshness.earliest_change(now - GOSSIP_LAG)
+        complete_revision = self._revisions.version
         for target in targets:
-            self._adopt(target, complete, now, since, UpdateSource.NEIGHBOUR)
+            self._adopt(target, complete_revision, now, since, UpdateSource.NEIGHBOUR)
         for name in self._known.names():
-            life = self._known.present_life(name)
-            if life is not None and life.id not in ids:
-                self._note_missing(name, revision, now, since)
+            current = self._known.current_life(name)
+            if current is not None and current.id not in ids:
+                self._mark_missing(name, revision, now, since)
         self._revisions.advance(revision)
         self._freshness.confirm(now - GOSSIP_LAG, UpdateSource.NEIGHBOUR)
         log_message(
@@ -115,111 +115,114 @@
         )
 
     @callback
-    def _note_era(self, revision: int, now: float) -> None:
-        """Note that the store came back from an older copy, if it did.
+    def _detect_restore(self, revision: int, now: float) -> None:
+        """Report to `StoreHealth` if a revision shows a restore from a backup.
 
-        Entries that were written since the copy are missing until they are written
-        again; taking their targets for gone would move all their keys.
+        Entries written since the backup are missing until they are written again. If
+        their targets counted as terminated, all their keys would move.
         """
-        known = self._revisions.version
-        if not known or era_of(revision) <= era_of(known):
+        version = self._revisions.version
+        if not version or era_of(revision) <= era_of(version):
             return
         self._health.record_restore(now)
         log_message(
             message_type="targets_in_doubt",
             level="warning",
             era=era_of(revision),
-            before=era_of(known),
+            before=era_of(version),
             targets=len(self._known.names()),
         )
 
     @callback
     def _adopt_entry(
-        self, entry: PlatformObject, complete: int, now: float, since: float
+        self, entry: PlatformObject, complete_revision: int, now: float, since: float
     ) -> None:
-        """Take an entry that is in the store."""
+        """Adopt an entry that is in the store."""
         try:
             target = decode_target(entry)
         except UnusableEntryError as err:
-            self._note_unusable(
+            self._mark_unusable(
                 entry.name, entry.revision, err.reason, str(err), now, since
             )
             return
-        self._adopt(target, complete, now, since, UpdateSource.WATCH)
+        self._adopt(target, complete_revision, now, since, UpdateSource.WATCH)
 
     @callback
     def _adopt(
         self,
         target: Target,
-        complete: int,
+        complete_revision: int,
         now: float,
         since: float,
         source: UpdateSource,
     ) -> None:
-        """Take a target that is in the store."""
-        life = self._known.present_life(target.name)
-        if not self._revisions.is_new(target.name, target.revision, complete):
-            if life is None or target.revision != life.revision:
-                known = max(self._revisions.of(target.name), complete)
-                self._revisions.log_refused(
-                    source, target.id, target.revision, known, now
+        """Adopt a target whose entry is in the store, unless it is outdated."""
+        current = self._known.current_life(target.name)
+        if not self._revisions.is_new(target.name, target.revision, complete_revision):
+            if current is None or target.revision != current.revision:
+                known_revision = max(
+                    self._revisions.get_revision(target.name), complete_revision
+                )
+                self._revisions.log_stale(
+                    source, target.id, target.revision, known_revision, now
                 )
             return
-        if life is not None and _is_of_older_copy(life, target):
-            self._revisions.log_refused(
-                source, target.id, target.revision, life.revision, now
+        if current is not None and _is_earlier_life(current, target):
+            self._revisions.log_stale(
+                source, target.id, target.revision, current.revision, now
             )
             return
-        reason = None if life is None else _contradiction(life, target)
+        reason = None if current is None else _find_contradiction(current, target)
         if reason is not None:
-            detail = "it contradicts what the same target told before"
-            self._note_unusable(
+            detail = "it contradicts an earlier entry of the same target"
+            self._mark_unusable(
                 target.name, target.revision, reason, detail, now, since
             )
             return
-        self._revisions.note(target.name, target.revision)
+        self._revisions.record(target.name, target.revision)
         self._known.put(target, now)
         if target.is_draining:
-            self._known.note_leaving(target.id, "draining", since, target.revision)
-        elif life is None or not _was_draining(life, target):
-            self._known.note_back(target.id)
+            self._known.mark_leaving(target.id, "draining", since, target.revision)
+        elif current is None or not _was_draining(current, target):
+            self._known.mark_serving(target.id)
 
     @callback
     def _adopt_removal(
-        self, changed: PlatformObject, revision: int, now: float, since: float
+        self, removed: PlatformObject, revision: int, now: float, since: float
     ) -> None:
-        """Take the removal of an entry."""
-        known = self._revisions.of(changed.name)
-        if changed.revision < known:
-            self._revisions.log_refused(
-                UpdateSource.WATCH, changed.name, changed.revision, known, now
+        """Adopt the removal of an entry, unless it is outdated."""
+        known_revision = self._revisions.get_revision(removed.name)
+        if removed.revision < known_revision:
+            self._revisions.log_stale(
+                UpdateSource.WATCH, removed.name, removed.revision, known_revision, now
             )
             return
-        self._note_missing(changed.name, changed.revision, now, since)
+        self._mark_missing(removed.name, removed.revision, now, since)
 
     @callback
-    def _note_missing(self, name: str, revision: int, now: float, since: float) -> None:
-        """Note that an entry is not in the store any more.
+    def _mark_missing(self, name: str, revision: int, now: float, since: float) -> None:
+        """Record that an entry is no longer in the store.
 
-        After an outage of the store the entries of live targets are missing for up to
-        two seconds; taking them for gone would move their keys to and fro.
+        After an outage of the store, the entries of live targets are missing for up to
+        2 seconds. If the targets counted as leaving, their keys would move away and
+        back.
         """
-        life = self._known.present_life(name)
-        if life is None or revision < self._revisions.of(name):
+        current = self._known.current_life(name)
+        if current is None or revision < self._revisions.get_revision(name):
             return
-        self._revisions.note(name, revision)
-        if life.id in self._known.missing_since_by_id:
+        self._revisions.record(name, revision)
+        if current.id in self._known.missing_since_by_id:
             return
-        self._known.missing_since_by_id[life.id] = now
+        self._known.missing_since_by_id[current.id] = now
         if self._health.is_settling(now, REREGISTRATION_TIME):
             log_message(
-                message_type="target_unlisted", target=life.id, revision=revision
+                message_type="target_unlisted", target=current.id, revision=revision
             )
             return
-        self._known.note_leaving(life.id, "entry removed", since, revision)
+        self._known.mark_leaving(current.id, "entry removed", since, revision)
 
     @callback
-    def _note_unusable(
+    def _mark_unusable(
         self,
         name: str,
         revision: int,
@@ -228,51 +231,55 @@
         now: float,
         since: float,
     ) -> None:
-        """Note an entry that can't be used; a target known by its name leaves.
+        """Report an unusable entry; mark a known target of that name as leaving.
 
-        It may hold keys, so it is not forgotten; nothing tells where it is or whether
-        it serves, so it gets nothing new.
+        The target is not removed, because it may hold keys. It gets no new keys,
+        because its address and whether it serves are unknown.
         """
-        life = self._known.present_life(name)
-        if revision and revision < self._revisions.of(name):
+        current = self._known.current_life(name)
+        if revision and revision < self._revisions.get_revision(name):
             return
-        self._unusable.note(name, reason, detail, now)
-        if life is None:
+        self._unusable_entries.report(name, reason, detail, now)
+        if current is None:
             return
-        self._revisions.note(name, revision)
-        self._known.unusable_ids.add(life.id)
-        self._known.note_leaving(life.id, "its entry can't be used", since, revision)
+        self._revisions.record(name, revision)
+        self._known.unusable_ids.add(current.id)
+        self._known.mark_leaving(current.id, "its entry can't be used", since, revision)
 
 
 @callback
-def _is_of_older_copy(life: Target, told: Target) -> bool:
-    """Return whether an entry of a restored store is of an earlier life than known."""
-    if era_of(told.revision) == era_of(life.revision):
+def _is_earlier_life(current: Target, reported: Target) -> bool:
+    """Return whether an entry of a restored store is of a life before the current."""
+    if era_of(reported.revision) == era_of(current.revision):
         return False
-    known, started = life.life.started_ms, told.life.started_ms
-    return known is not None and started is not None and started < known
+    current_start, reported_start = current.life.started_ms, reported.life.started_ms
+    return (
+        current_start is not None
+        and reported_start is not None
+        and reported_start < current_start
+    )
 
 
 @callback
-def _was_draining(life: Target, told: Target) -> bool:
-    """Return whether a restored store lost that a target is draining.
+def _was_draining(current: Target, reported: Target) -> bool:
+    """Return whether a target was draining before the store was restored.
 
-    The target writes it again. Taken at its word in between, the target would get
-    requests after it had said that it leaves.
+    The target writes this state again. Until then its restored entry is wrong, and
+    requests would be sent after the target announced that it leaves.
     """
-    is_restored = era_of(told.revision) > era_of(life.revision)
-    return is_restored and told.id == life.id and life.is_draining
+    is_restored = era_of(reported.revision) > era_of(current.revision)
+    return is_restored and reported.id == current.id and current.is_draining
 
 
 @callback
-def _contradiction(life: Target, told: Target) -> UnusableReason | None:
-    """Return why an entry can't be of the target that bears its name, None if it can.
+def _find_contradiction(current: Target, reported: Target) -> UnusableReason | None:
+    """Return why an entry can't belong to the known target of its name, else None.
 
-    Another writer that leaves the start out would otherwise look like a new life, and
-    end all that a live target was granted.
+    An entry that another writer created without a start time would otherwise count as
+    a new life, and all grants of the live target would count as ended.
     """
-    if told.life.started_ms is None and life.life.started_ms is not None:
+    if reported.life.started_ms is None and current.life.started_ms is not None:
         return UnusableReason.START
-    if told.id == life.id and told.service != life.service:
+    if reported.id == current.id and reported.service != current.service:
         return UnusableReason.SERVICE
     return None
--- a/swiftpin/discovery/unusable_entries.py
+++ b/swiftpin/discovery/unusable_entries.py
@@ -1,4 +1,4 @@
-"""Lines and counts of entries that name no target to use."""
+"""Logging and counting of target entries that can't be used."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 from swiftpin.helpers.line_rate_limiter import LineRateLimiter
 from swiftpin.platform.unusable_entry import UnusableReason
 
-UNUSABLE_LINES: Final = 2
-"""Lines a second about entries that can't be used: another writer may spoil them all,
-and each list brings them again."""
+MAX_UNUSABLE_LINES_PER_SECOND: Final = 2
+"""Limit on log lines about unusable entries: another writer may corrupt all entries,
+and each list returns them again."""
 
 
 class UnusableEntries:
-    """Tells of each unusable entry, whoever wrote it."""
+    """Reports each unusable entry to a callback and the log."""
 
     def __init__(self) -> None:
         self.on_unusable: Callable[[str], None] = _ignore
-        """Called with the reason for each such entry that is read."""
+        """Called with the reason for each unusable entry that is read."""
 
-        self._lines = LineRateLimiter(UNUSABLE_LINES)
+        self._line_limiter = LineRateLimiter(MAX_UNUSABLE_LINES_PER_SECOND)
 
     @callback
-    def note(self, name: str, reason: UnusableReason, error: str, now: float) -> None:
-        """Note an entry that can't be used."""
+    def report(self, name: str, reason: UnusableReason, error: str, now: float) -> None:
+        """Report an unusable entry; log lines above the limit are left out."""
         self.on_unusable(reason.value)
-        if not self._lines.allow(now):
+        if not self._line_limiter.allow(now):
             return
         log_message(
             message_type="target_entry_unusable",
@@ -37,7 +37,7 @@
             target=name,
             reason=reason.value,
             error=error,
-            left_out=self._lines.take_suppressed_count(),
+            left_out=self._line_limiter.take_suppressed_count(),
         )
 
 
--- a/tests/discovery/test_store_follower.py
+++ b/tests/discovery/test_store_follower.py
@@ -94,10 +94,10 @@
 @pytest.fixture(autouse=True)
 def short_pauses_fixture(monkeypatch: pytest.MonkeyPatch) -> None:
     """Let looks and pauses follow each other at once."""
-    monkeypatch.setattr(follower_module, "LOOK_PAUSE", 0.001)
-    monkeypatch.setattr(follower_module, "CHANGE_PAUSE", 0.0)
-    monkeypatch.setattr(follower_module, "FIRST_PAUSE", 0.0)
-    monkeypatch.setattr(follower_module, "SKIP_PAUSE", 0.0)
+    monkeypatch.setattr(follower_module, "CHECK_INTERVAL", 0.001)
+    monkeypatch.setattr(follower_module, "CHANGE_DELAY", 0.0)
+    monkeypatch.setattr(follower_module, "MIN_RETRY_DELAY", 0.0)
+    monkeypatch.setattr(follower_module, "SKIP_CHECK_INTERVAL", 0.0)
 
 
 @pytest.fixture(name="store")
--- a/tests/discovery/test_unusable_entries.py
+++ b/tests/discovery/test_unusable_entries.py
@@ -136,7 +136,7 @@
     )
     for number in range(50):
         directory.adopt_changes((spoilt(f"x{number}", 10 + number),), 60, 10.0)
-    assert len(lines) == unusable_entries.UNUSABLE_LINES
+    assert len(lines) == unusable_entries.MAX_UNUSABLE_LINES_PER_SECOND
 
 
 def test_all_entries_spoilt_while_the_store_settles(
