--- a/swiftpin/discovery/target_directory.py
+++ b/swiftpin/discovery/target_directory.py
@@ -262,7 +262,7 @@
 
     @callback
     def _is_overdue(self, missing_since: float, now: float) -> bool:
-        """Return whether a target with a missing entry had time to register again.
+        """Return whether a missing target should have registered again by now.
 
         An instance that has lost its connection to the store learns of the missing
         entry from neighbours that have one. It must not wait for its own connection,
