--- a/tests/discovery/conftest.py
+++ b/tests/discovery/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures and builders for tests of what is known of targets."""
+"""Fixtures and builders for tests of the target directory."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @pytest.fixture(name="health")
 def health_fixture() -> StoreHealth:
-    """Return a store that answers."""
+    """Return the health of a store that is available."""
     return StoreHealth()
 
 
@@ -38,7 +38,7 @@
     born: int | None = None,
     service: str = "desk",
 ) -> dict[str, Any]:
-    """Return what a target writes of itself."""
+    """Return the content of the entry that a target writes."""
     written: dict[str, Any] = {
         "address": address or f"{name}:1",
         "information": {"service": service, "version": "v1", "zone": "z", "slots": 2},
@@ -58,7 +58,7 @@
     born: int | None = None,
     service: str = "desk",
 ) -> PlatformObject:
-    """Return a target's entry."""
+    """Return the entry of a target."""
     written = content(name, state=state, address=address, born=born, service=service)
     return PlatformObject(
         name=name,
@@ -76,7 +76,7 @@
 def target(
     name: str, revision: int, *, born: int | None = None, is_draining: bool = False
 ) -> Target:
-    """Return a target as a neighbour tells it."""
+    """Return a target as reported by a neighbour."""
     return Target(
         life=TargetLife(name=name, started_ms=born),
         service="desk",
@@ -90,5 +90,5 @@
 
 
 def ids(directory: TargetDirectory) -> set[str]:
-    """Return the targets that serve."""
-    return {found.id for found in directory.serving_targets("desk", 0.0)}
+    """Return the ids of the serving targets."""
+    return {item.id for item in directory.serving_targets("desk", 0.0)}
--- a/tests/discovery/test_evacuations.py
+++ b/tests/discovery/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Tests of what is known of evacuated zones."""
+"""Tests of evacuated zones."""
 
 from __future__ import annotations
 
@@ -9,37 +9,37 @@
 from swiftpin.model.store_revision import REVISIONS_PER_ERA
 from swiftpin.platform.platform_object import PlatformObject
 
-BOUND = 5.0
+LIMIT = 5.0
 
 
 @pytest.fixture(name="evacuations")
 def evacuations_fixture() -> Evacuations:
-    """Return evacuations that are known at revision 10: none."""
-    evacuations = Evacuations(BOUND)
+    """Return an empty list of evacuations, known at revision 10."""
+    evacuations = Evacuations(LIMIT)
     evacuations.adopt_list((), 10, 0.0)
     return evacuations
 
 
 def entry(zone: str, revision: int, *, is_deleted: bool = False) -> PlatformObject:
-    """Return the operators' object for a zone."""
+    """Return the store object that evacuates a zone."""
     return PlatformObject(
         name=zone, revision=revision, is_deleted=is_deleted, document={}
     )
 
 
-def test_keys_of_an_evacuated_zone_are_served_until_shortly_before_the_bound(
+def test_keys_of_an_evacuated_zone_are_served_until_shortly_before_the_limit(
     evacuations: Evacuations,
 ) -> None:
-    """Guards against requests to an evacuated zone after its time is over."""
+    """Guards against requests to an evacuated zone after the evacuation limit."""
     evacuations.adopt_changes((entry("a", 11),), 11, 1.0)
     assert evacuations.is_evacuated("a")
-    assert evacuations.may_send("a", 1.0 + BOUND - EVACUATION_LAG - 0.1)
-    assert not evacuations.may_send("a", 1.0 + BOUND - EVACUATION_LAG)
+    assert evacuations.may_send("a", 1.0 + LIMIT - EVACUATION_LAG - 0.1)
+    assert not evacuations.may_send("a", 1.0 + LIMIT - EVACUATION_LAG)
     assert evacuations.may_send("b", 100.0)
 
 
-def test_zone_that_is_taken_back_gets_requests(evacuations: Evacuations) -> None:
-    """Its targets may be cold from then on."""
+def test_zone_gets_requests_after_its_evacuation(evacuations: Evacuations) -> None:
+    """The end of the evacuation is recorded, as targets may be cold from then on."""
     evacuations.adopt_changes((entry("a", 11), entry("b", 12)), 12, 1.0)
     evacuations.adopt_changes((entry("a", 13, is_deleted=True),), 13, 8.0)
     assert evacuations.may_send("a", 8.0)
@@ -47,15 +47,15 @@
     assert evacuations.ended_at("a") == 8.0
 
 
-def test_evacuations_of_a_new_list_begin_and_end(evacuations: Evacuations) -> None:
-    """The history between two lists is gone."""
+def test_new_list_starts_and_ends_evacuations(evacuations: Evacuations) -> None:
+    """The history between two lists is not available."""
     evacuations.adopt_list((entry("a", 11),), 15, 1.0)
     evacuations.adopt_list((entry("b", 18),), 20, 2.0)
     assert evacuations.since_by_zone == {"b": 2.0}
 
 
-def test_older_updates_undo_nothing(evacuations: Evacuations) -> None:
-    """Guards against an evacuated zone that is used again for an old answer."""
+def test_older_updates_are_ignored(evacuations: Evacuations) -> None:
+    """Guards against reusing an evacuated zone because of an outdated answer."""
     evacuations.adopt_changes((entry("a", 11),), 11, 1.0)
     evacuations.adopt_list((), 10, 2.0)
     evacuations.adopt_changes((), 10, 2.0)
@@ -63,10 +63,10 @@
     assert evacuations.is_evacuated("a")
 
 
-def test_neighbour_tells_for_how_long_a_zone_has_been_evacuated(
+def test_neighbour_reports_the_age_of_an_evacuation(
     evacuations: Evacuations,
 ) -> None:
-    """Guards against a bound that is counted from when the neighbour told."""
+    """Guards against a limit that counts from the report of the neighbour."""
     evacuations.adopt_update({"a": 2.0}, 12, 10.0)
     assert evacuations.since_by_zone == {"a": 8.0 - GOSSIP_LAG}
     assert evacuations.resume_revision(10) == 12
@@ -74,10 +74,10 @@
     assert not evacuations.is_evacuated("a")
 
 
-def test_restored_store_does_not_end_an_evacuation_at_once(
+def test_restored_store_does_not_end_an_evacuation_immediately(
     evacuations: Evacuations,
 ) -> None:
-    """Guards against use of a zone whose evacuation is about to be written again."""
+    """Guards against using a zone whose evacuation is about to be written again."""
     evacuations.adopt_changes((entry("a", 11), entry("b", 12)), 12, 1.0)
     evacuations.adopt_list((), REVISIONS_PER_ERA + 9, 2.0)
     assert evacuations.is_evacuated("a")
@@ -89,19 +89,19 @@
     assert not evacuations.is_evacuated("b")
 
 
-def test_evacuations_are_unknown_until_they_are_told() -> None:
-    """Guards against an assigner that gives keys to a zone before it knows."""
-    unknown = Evacuations(BOUND)
+def test_evacuations_are_unknown_until_the_first_update() -> None:
+    """Guards against an assigner that assigns keys to a zone evacuated unnoticed."""
+    unknown = Evacuations(LIMIT)
     assert not unknown.is_known
     unknown.adopt_update({}, 3, 0.0)
     assert unknown.is_known
     assert Evacuations(None).is_known
 
 
-def test_neighbour_that_lists_a_restored_store_does_not_end_an_evacuation_at_once(
+def test_neighbour_update_after_a_restore_does_not_end_an_evacuation_immediately(
     evacuations: Evacuations,
 ) -> None:
-    """Guards against use of a zone that an instance which has just started lacks."""
+    """Guards against ending an evacuation unknown to a newly started neighbour."""
     evacuations.adopt_changes((entry("a", 11),), 11, 1.0)
     evacuations.adopt_update({}, REVISIONS_PER_ERA + 9, 2.0)
     assert evacuations.is_evacuated("a")
--- a/tests/discovery/test_older_updates.py
+++ b/tests/discovery/test_older_updates.py
@@ -1,4 +1,4 @@
-"""Tests of updates that are older than what is known."""
+"""Tests of updates that are older than the known state."""
 
 from __future__ import annotations
 
@@ -8,15 +8,14 @@
 from tests.discovery.conftest import DRAIN, entry, ids, removed, target
 
 
-def test_older_list_does_not_undo_a_neighbours_removal(
+def test_older_list_does_not_undo_a_removal_reported_by_a_neighbour(
     directory: TargetDirectory,
 ) -> None:
-    """Symptom: requests went to a target long after it had left.
+    """Guards against requests to a target long after it left.
 
-    Sequence: the watch fell behind; a neighbour told of the removal at revision 9; the
-    store's answer to a list from before it, at revision 5, arrived late.
-    Cause: a list was compared with the watch's revision, not with what was known, and
-    an entry of the same revision took the note of the leaving away.
+    A neighbour reports the removal at revision 9 while the watch lags behind; then a
+    list of revision 5 arrives late. The list was compared only with the revision of the
+    watch, and an entry of the known revision cleared the leaving state.
     """
     directory.adopt_update([], frozenset({"b"}), 9, 10.0)
     directory.adopt_list((entry("a", 1), entry("b", 2)), 5, 11.0)
@@ -24,42 +23,42 @@
     assert not directory.may_send("a", 10.0 - GOSSIP_LAG + DRAIN)
 
 
-def test_older_list_does_not_remove_what_a_neighbour_told(
+def test_older_list_does_not_remove_a_target_reported_by_a_neighbour(
     directory: TargetDirectory,
 ) -> None:
-    """Symptom: a target that had just joined was noted as leaving.
+    """Guards against a new target that is marked as leaving.
 
-    Sequence: a neighbour told of it at revision 9; a list from revision 5 lacked it.
-    Cause: whatever a list lacked counted as removed.
+    A neighbour reports the target at revision 9; a list of revision 5 lacks it. Any
+    target missing from a list counted as removed.
     """
-    told = target("c", 8)
-    directory.adopt_update([told], frozenset({"a", "b", "c"}), 9, 10.0)
+    reported = target("c", 8)
+    directory.adopt_update([reported], frozenset({"a", "b", "c"}), 9, 10.0)
     directory.adopt_list((entry("a", 1), entry("b", 2)), 5, 11.0)
     assert ids(directory) == {"a", "b", "c"}
 
 
-def test_watch_that_is_behind_does_not_undo_a_removal(
+def test_lagging_watch_does_not_undo_a_removal(
     directory: TargetDirectory,
 ) -> None:
-    """Symptom: a target that had left got requests again.
+    """Guards against requests to a target that left.
 
-    Sequence: it changed at revision 5 and was removed at 7; a neighbour told of the
-    removal; the watch, which stood behind, brought the change. Cause: the removal was
-    kept without the revision at which it was learnt.
+    The target changes at revision 5 and is removed at 7; a neighbour reports the
+    removal, then the lagging watch returns the change. The removal was stored without
+    the revision at which it was learnt.
     """
     directory.adopt_update([], frozenset({"b"}), 9, 10.0)
     directory.adopt_changes((entry("a", 5),), 7, 10.2)
     assert ids(directory) == {"b"}
 
 
-def test_watch_that_is_behind_does_not_bring_an_unknown_target(
+def test_lagging_watch_does_not_add_a_removed_target(
     directory: TargetDirectory,
 ) -> None:
-    """Symptom: requests went to a target that had come and gone.
+    """Guards against requests to a target that registered and left unnoticed.
 
-    Sequence: it registered at revision 5 and left at 7, both unseen here; a neighbour's
-    picture of revision 9 lacked it; the watch, which stood behind, brought its entry.
-    Cause: a target that was not known had no revision to compare with.
+    It registers at revision 5 and leaves at 7; a neighbour's update of revision 9 lacks
+    it, then the lagging watch returns its entry. An unknown target had no revision to
+    compare with.
     """
     directory.adopt_update([], frozenset({"a", "b"}), 9, 10.0)
     directory.adopt_changes((entry("c", 5),), 6, 10.2)
@@ -69,10 +68,10 @@
 def test_entry_of_the_same_revision_does_not_undo_a_removal(
     directory: TargetDirectory,
 ) -> None:
-    """Symptom: a target was back at once after its entry had been removed.
+    """Guards against a target that serves again right after its entry was removed.
 
-    Sequence: the watch told of the removal; a neighbour told the entry that had been
-    removed. Cause: an entry of the revision already known counted as new.
+    The watch reports the removal, then a neighbour reports the removed entry. An entry
+    of the known revision counted as new.
     """
     directory.adopt_changes((removed("a", 4),), 4, 10.0)
     directory.adopt_update([target("a", 1)], frozenset({"a", "b"}), 6, 10.5)
@@ -80,24 +79,23 @@
     assert not directory.may_send("a", 10.0 + DRAIN)
 
 
-def test_entry_that_is_written_anew_brings_a_target_back(
+def test_target_that_registers_again_serves_again(
     directory: TargetDirectory,
 ) -> None:
-    """A target that lost its entry and registered again serves again."""
+    """Guards against a removal that outlasts a later registration."""
     directory.adopt_changes((removed("a", 4),), 4, 10.0)
     directory.adopt_changes((entry("a", 7),), 7, 12.0)
     assert ids(directory) == {"a", "b"}
     assert directory.may_send("a", 20.0)
 
 
-def test_removal_while_the_store_settles_counts_from_when_it_was_seen(
+def test_removal_while_the_store_settles_counts_from_its_detection(
     directory: TargetDirectory, health: StoreHealth
 ) -> None:
-    """Symptom: requests went to a target more than its drain time after its removal.
+    """Guards against requests to a target after its drain time.
 
-    Sequence: this instance saw the store's return late; a target's entry was removed
-    while it still waited for lapsed entries; the wait ended 2 s later.
-    Cause: the drain time was counted from the end of the wait.
+    The entry is removed while this instance, after an outage, still waits for targets
+    to register again. The drain time counted from the end of this wait, 2 seconds late.
     """
     health.record_failure("away", 10.0)
     health.record_answer(15.0)
@@ -107,14 +105,14 @@
     assert not directory.may_send("a", 15.3 + DRAIN)
 
 
-def test_removal_is_noted_while_the_own_store_stays_away(
+def test_removal_is_adopted_while_the_own_store_connection_is_down(
     directory: TargetDirectory, health: StoreHealth
 ) -> None:
-    """Symptom: one instance sent to a target for seconds after it had left.
+    """Guards against requests of one instance to a target that left seconds ago.
 
-    Sequence: the store was away for this instance alone; neighbours told of a removal,
-    and went on telling that they knew nothing newer. Cause: a missing entry waited for
-    the own store's return, which was 10 s away.
+    Only this instance has lost the store; neighbours report a removal and later that
+    they know no newer revision. A missing entry was ignored until this instance's own
+    connection recovered, 10 seconds later.
     """
     health.record_failure("away", 10.0)
     directory.adopt_update([], frozenset({"b"}), 9, 12.0)
@@ -125,14 +123,14 @@
     assert not directory.may_send("a", 12.0 + REREGISTRATION_TIME)
 
 
-def test_lapsed_targets_serve_while_nobody_can_tell_of_their_return(
+def test_targets_with_expired_entries_serve_until_their_return_can_be_reported(
     directory: TargetDirectory, health: StoreHealth
 ) -> None:
-    """Symptom: nothing was served in the second of two outages of the store.
+    """Guards against an outage of all targets in the second of two store outages.
 
-    Sequence: entries lapsed in the first outage; the list after it lacked them; the
-    store was lost again before they had registered. Cause: the time for their return
-    ran on while nothing could tell of it.
+    Entries expire in the first outage and are missing from the list after it; the store
+    is lost again before the targets register. The time allowed for registering again
+    ran on although no source could report it.
     """
     health.record_failure("away", 10.0)
     health.record_answer(15.0)
@@ -143,13 +141,13 @@
     assert directory.may_send("a", 25.0)
 
 
-def test_target_that_drained_unseen_gets_nothing_more(
+def test_target_that_started_draining_unnoticed_gets_no_requests(
     directory: TargetDirectory,
 ) -> None:
-    """Symptom: a target got requests more than its drain time after its announcement.
+    """Guards against requests to a target after its drain time.
 
-    Sequence: the watch stood still for 3 s, in which the target began to drain; a list
-    told of it at last. Cause: the drain time was counted from the list.
+    The target starts to drain while the watch is interrupted for 3 seconds, and a list
+    shows it. The drain time counted from the list.
     """
     directory.record_confirmation(10.0)
     draining = entry("a", 5, state="draining")
--- a/tests/discovery/test_retiring_targets.py
+++ b/tests/discovery/test_retiring_targets.py
@@ -1,4 +1,4 @@
-"""Tests of targets that are cold or whose zone is evacuated."""
+"""Tests of targets that are cold or in an evacuated zone."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 COLD_START = 3.0
 
 
-def make_directory(bound: float = 5.0) -> TargetDirectory:
+def make_directory(limit: float = 5.0) -> TargetDirectory:
     """Return a directory that lists a target at time 0."""
-    directory = TargetDirectory(StoreHealth(), DRAIN, Evacuations(bound))
+    directory = TargetDirectory(StoreHealth(), DRAIN, Evacuations(limit))
     directory.set_services({"desk"}, 0.0)
     directory.adopt_list((entry("a", 1),), 1, 0.0)
     directory.evacuations.adopt_list((), 1, 0.0)
@@ -25,50 +25,50 @@
 
 def cold_entry(name: str, revision: int, milliseconds: int) -> PlatformObject:
     """Return the entry of a target that is cold."""
-    found = entry(name, revision)
+    warm_entry = entry(name, revision)
     status = {"state": "ready", "sequence": revision, "cold_ms": milliseconds}
-    content = {**found.content, "status": status}
-    return replace(found, document={"specification": content})
+    content = {**warm_entry.content, "status": status}
+    return replace(warm_entry, document={"specification": content})
 
 
-def cold_left(directory: TargetDirectory, now: float) -> float:
-    """Return for how long the target is cold."""
+def cold_time_left(directory: TargetDirectory, now: float) -> float:
+    """Return the seconds for which the target is still cold."""
     return directory.cold_time_left(directory.targets_by_id["a"], COLD_START, now)
 
 
-def test_target_that_is_cold_again_is_known_to_be() -> None:
-    """Guards against a rate for warm targets at one that is cold again."""
+def test_target_can_become_cold_again() -> None:
+    """Guards against sending requests to a cold target at the rate of a warm one."""
     directory = make_directory()
-    assert cold_left(directory, 0.0) == 0.0
+    assert cold_time_left(directory, 0.0) == 0.0
     directory.adopt_changes((cold_entry("a", 2, 3000),), 2, 10.0)
-    assert cold_left(directory, 11.0) == 2.0
+    assert cold_time_left(directory, 11.0) == 2.0
     directory.adopt_changes((cold_entry("a", 3, 0),), 3, 12.0)
-    assert cold_left(directory, 12.0) == 0.0
+    assert cold_time_left(directory, 12.0) == 0.0
 
 
-def test_neighbours_are_told_for_how_long_a_target_is_still_cold() -> None:
-    """Guards against targets that seem cold for longer the later it is told."""
+def test_remaining_cold_time_is_sent_to_neighbours() -> None:
+    """Guards against a cold time that restarts with each report to a neighbour."""
     directory = make_directory()
     directory.adopt_changes((cold_entry("a", 2, 3000),), 2, 10.0)
-    (told,) = directory.targets_changed_since(1, 12.0)
-    assert told.cold_for == 1.0
+    (reported,) = directory.targets_changed_since(1, 12.0)
+    assert reported.cold_for == 1.0
     assert directory.targets_changed_since(2, 12.0) == []
 
 
-def test_targets_of_a_zone_that_is_taken_back_count_as_cold() -> None:
-    """Guards against a crowd at targets whose entries tell late that they are cold."""
+def test_targets_are_cold_after_the_evacuation_of_their_zone() -> None:
+    """Guards against overload of cold targets whose entries report it late."""
     directory = make_directory()
     zone = PlatformObject(name="z", revision=2, is_deleted=False, document={})
     directory.evacuations.adopt_changes((zone,), 2, 1.0)
     directory.evacuations.adopt_changes(
         (replace(zone, revision=3, is_deleted=True),), 3, 6.0
     )
-    assert cold_left(directory, 7.0) == 2.0
-    assert cold_left(directory, 9.0) == 0.0
+    assert cold_time_left(directory, 7.0) == 2.0
+    assert cold_time_left(directory, 9.0) == 0.0
 
 
-def test_evacuated_target_serves_its_keys_only() -> None:
-    """Guards against new requests to a zone from which keys are leaving."""
+def test_evacuated_target_only_serves_its_keys() -> None:
+    """Guards against new requests to a zone whose keys are being moved away."""
     directory = make_directory()
     zone = PlatformObject(name="z", revision=2, is_deleted=False, document={})
     directory.evacuations.adopt_changes((zone,), 2, 1.0)
@@ -79,9 +79,9 @@
     assert not directory.may_send("a", 6.0)
 
 
-def test_evacuation_does_not_prolong_a_targets_drain_time() -> None:
-    """Guards against requests to a target that has left an evacuated zone."""
-    directory = make_directory(bound=60.0)
+def test_evacuation_does_not_extend_the_drain_time() -> None:
+    """Guards against requests to a target that left during an evacuation."""
+    directory = make_directory(limit=60.0)
     zone = PlatformObject(name="z", revision=2, is_deleted=False, document={})
     directory.evacuations.adopt_changes((zone,), 2, 1.0)
     directory.adopt_changes((entry("a", 3, state="draining"),), 3, 2.0)
--- a/tests/discovery/test_store_follower.py
+++ b/tests/discovery/test_store_follower.py
@@ -1,4 +1,4 @@
-"""Tests of watches that fall silent."""
+"""Tests of watches with hanging connections."""
 
 from __future__ import annotations
 
@@ -18,29 +18,29 @@
 from swiftpin.platform.store_client import StoreClient
 from tests.discovery.conftest import removed
 
-LIMIT = 5.0
+TIMEOUT = 5.0
 
 
 @dataclass(kw_only=True)
-class ScriptedStore:
-    """Answers the list, and watches from a queue; a watch without one hangs."""
+class FakeStore:
+    """Fake store; a watch hangs until the queue of answers has one."""
 
     answers: asyncio.Queue[ObjectChanges | StoreUnavailableError] = field(
         default_factory=asyncio.Queue
     )
     waits: asyncio.Queue[float] = field(default_factory=asyncio.Queue)
-    """How long each watch was to wait."""
+    """Requested wait of each watch in seconds."""
 
     watched_from: list[int] = field(default_factory=list)
 
     async def async_list(self, kind: str) -> ObjectList:
-        """Return no objects."""
+        """Return an empty list."""
         return ObjectList(objects=(), revision=1, has_more=False)
 
     async def async_watch(
         self, kind: str, revision: int, wait: float, *, grace: float = 1.0
     ) -> ObjectChanges:
-        """Return the next answer."""
+        """Return or raise the next queued answer."""
         self.watched_from.append(revision)
         self.waits.put_nowait(wait)
         answer = await self.answers.get()
@@ -50,20 +50,20 @@
 
 
 @dataclass(kw_only=True)
-class ScriptedNeighbours:
-    """Says of the store what the test wants."""
+class FakeNeighbours:
+    """Fake neighbours whose reports are set by the test."""
 
-    is_heard: bool = True
+    confirms: bool = True
     store_reports: int = 0
 
     def is_confirmed(self) -> bool:
-        """Return whether a neighbour is heard."""
-        return self.is_heard
+        """Return whether a neighbour confirms the known state."""
+        return self.confirms
 
 
 @dataclass(kw_only=True)
-class Taken:
-    """Keeps what was adopted."""
+class RecordingFollower:
+    """Follower that records the adopted changes."""
 
     changes: asyncio.Queue[tuple[tuple[PlatformObject, ...], bool]] = field(
         default_factory=asyncio.Queue
@@ -73,7 +73,7 @@
     def adopt_list(
         self, objects: tuple[PlatformObject, ...], revision: int, now: float
     ) -> None:
-        """Pass a list over."""
+        """Ignore a list."""
 
     def adopt_changes(
         self,
@@ -83,17 +83,17 @@
         *,
         is_catching_up: bool = False,
     ) -> None:
-        """Keep changes."""
+        """Record changes."""
         self.changes.put_nowait((objects, is_catching_up))
 
     def resume_revision(self, revision: int) -> int | None:
-        """Return the revision that a neighbour told."""
+        """Return the revision reported by a neighbour, if it is later."""
         return max(revision, self.known_revision)
 
 
 @pytest.fixture(autouse=True)
-def short_pauses_fixture(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let looks and pauses follow each other at once."""
+def short_delays_fixture(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Shorten all checks and delays."""
     monkeypatch.setattr(follower_module, "CHECK_INTERVAL", 0.001)
     monkeypatch.setattr(follower_module, "CHANGE_DELAY", 0.0)
     monkeypatch.setattr(follower_module, "MIN_RETRY_DELAY", 0.0)
@@ -101,70 +101,70 @@
 
 
 @pytest.fixture(name="store")
-def store_fixture() -> ScriptedStore:
-    """Return a store that gives no answers yet."""
-    return ScriptedStore()
+def store_fixture() -> FakeStore:
+    """Return a store without queued answers."""
+    return FakeStore()
 
 
 @pytest.fixture(name="health")
 def health_fixture() -> StoreHealth:
-    """Return a store that answers."""
+    """Return the health of a store that is available."""
     return StoreHealth()
 
 
 @pytest.fixture(name="neighbours")
-def neighbours_fixture() -> ScriptedNeighbours:
-    """Return neighbours that are heard."""
-    return ScriptedNeighbours()
+def neighbours_fixture() -> FakeNeighbours:
+    """Return neighbours that confirm the known state."""
+    return FakeNeighbours()
 
 
-@pytest.fixture(name="taken")
-async def taken_fixture(
-    store: ScriptedStore, health: StoreHealth, neighbours: ScriptedNeighbours
-) -> AsyncIterator[Taken]:
-    """Run a follower and return what it takes."""
-    taken = Taken()
+@pytest.fixture(name="recorder")
+async def recorder_fixture(
+    store: FakeStore, health: StoreHealth, neighbours: FakeNeighbours
+) -> AsyncIterator[RecordingFollower]:
+    """Run a store follower and yield the recorder of its changes."""
+    recorder = RecordingFollower()
     follower = StoreFollower(
-        "kind", cast(StoreClient, store), taken, health, neighbours=neighbours
+        "kind", cast(StoreClient, store), recorder, health, neighbours=neighbours
     )
     task = asyncio.create_task(follower.async_run())
-    yield taken
+    yield recorder
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
 
 
-async def next_wait(store: ScriptedStore) -> float:
-    """Return how long the next watch is to wait."""
-    async with asyncio.timeout(LIMIT):
+async def next_wait(store: FakeStore) -> float:
+    """Return the requested wait of the next watch in seconds."""
+    async with asyncio.timeout(TIMEOUT):
         return await store.waits.get()
 
 
-async def test_watch_is_made_anew_when_neighbours_fall_silent(
-    store: ScriptedStore, neighbours: ScriptedNeighbours, taken: Taken
+async def test_watch_is_restarted_when_neighbours_stop_confirming(
+    store: FakeStore, neighbours: FakeNeighbours, recorder: RecordingFollower
 ) -> None:
-    """Symptom: one instance sent to a target for seconds after it had left.
+    """Guards against requests to a target that left seconds ago.
 
-    Sequence: its watch's connection had fallen silent; the neighbour that would have
-    told it of the removal froze. Cause: the watch was waited for to its end, 15 s.
+    The connection of the watch hangs, and the neighbour that would report the removal
+    freezes. The follower waited 15 seconds for the watch to end.
     """
     assert await next_wait(store) == WATCH_WAIT
-    neighbours.is_heard = False
+    neighbours.confirms = False
     assert await next_wait(store) < 1.0
     store.answers.put_nowait(ObjectChanges(objects=(removed("a", 4),), revision=4))
-    async with asyncio.timeout(LIMIT):
-        objects, is_catching_up = await taken.changes.get()
+    async with asyncio.timeout(TIMEOUT):
+        objects, is_catching_up = await recorder.changes.get()
     assert objects == (removed("a", 4),)
     assert is_catching_up
 
 
-async def test_watch_from_before_an_outage_is_made_anew(
-    store: ScriptedStore, health: StoreHealth, taken: Taken
+async def test_watch_from_before_an_outage_is_restarted(
+    store: FakeStore, health: StoreHealth, recorder: RecordingFollower
 ) -> None:
-    """Symptom: an instance knew of no change for seconds after the store's return.
+    """Guards against missing all changes for seconds after the store's return.
 
-    Sequence: the store fell silent and came back; another call told this instance so,
-    while its watch from before still waited. Cause: a lost and regained store did not
-    touch the watch, whose answer could not come any more.
+    Another call detects that the store was lost and recovered, while a watch from
+    before the outage is pending. The follower kept waiting for its answer, which was
+    lost.
     """
     assert await next_wait(store) == WATCH_WAIT
     health.record_failure("away", 10.0)
@@ -172,14 +172,14 @@
     assert await next_wait(store) < 1.0
 
 
-async def test_watch_is_made_anew_when_a_neighbour_loses_the_store(
-    store: ScriptedStore, neighbours: ScriptedNeighbours, taken: Taken
+async def test_watch_is_restarted_when_a_neighbour_loses_the_store(
+    store: FakeStore, neighbours: FakeNeighbours, recorder: RecordingFollower
 ) -> None:
-    """Symptom: an instance that asks the store for nothing else missed an outage.
+    """Guards against an outage missed by an instance that only watches the store.
 
-    Sequence: the store fell silent; the holder of the lease noticed at once; others
-    only watched, and confirmed to each other that nothing was new. Cause: what
-    neighbours said of the store did not touch the watch.
+    The lease holder detects the outage immediately, but instances that only watch
+    confirm to each other that nothing is new. Their watches ignored the report of the
+    holder.
     """
     assert await next_wait(store) == WATCH_WAIT
     neighbours.store_reports += 1
@@ -187,9 +187,9 @@
 
 
 async def test_answered_watch_is_followed_by_a_long_one(
-    store: ScriptedStore, neighbours: ScriptedNeighbours, taken: Taken
+    store: FakeStore, neighbours: FakeNeighbours, recorder: RecordingFollower
 ) -> None:
-    """Each call is paid for: in calm times there are few."""
+    """Each call has a cost, so few are made in normal operation."""
     assert await next_wait(store) == WATCH_WAIT
     neighbours.store_reports += 1
     await next_wait(store)
@@ -198,12 +198,12 @@
 
 
 async def test_watches_are_short_until_the_store_answers_again(
-    store: ScriptedStore, health: StoreHealth, taken: Taken
+    store: FakeStore, health: StoreHealth, recorder: RecordingFollower
 ) -> None:
-    """Symptom: an instance saw the store's return 15 s late.
+    """Guards against detecting the store's return 15 seconds late.
 
-    Sequence: a watch that was made while the store was silent hung after its return.
-    Cause: watches in an outage waited as long as others.
+    A watch started during the outage may hang after the store's return. Watches waited
+    as long during an outage as at other times.
     """
     await next_wait(store)
     health.record_failure("away", 10.0)
@@ -216,31 +216,33 @@
 
 
 @dataclass(kw_only=True)
-class ScriptedDuty:
-    """Says whether others watch."""
+class FakeDuty:
+    """Fake duty that is set by the test."""
 
-    is_others: bool = False
+    others_watch: bool = False
 
     def is_skipped(self) -> bool:
-        """Return whether others watch."""
-        return self.is_others
+        """Return whether other instances watch."""
+        return self.others_watch
 
     def max_retry_delay(self, min_delay: float) -> float:
-        """Return the usual pause."""
+        """Return the given delay."""
         return min_delay
 
 
-async def test_watch_goes_on_from_what_others_told(
-    store: ScriptedStore, health: StoreHealth
+async def test_watch_resumes_at_the_revision_reported_by_others(
+    store: FakeStore, health: StoreHealth
 ) -> None:
-    """A watch from a revision of minutes ago met a history that was gone."""
-    taken, duty = Taken(known_revision=40), ScriptedDuty(is_others=True)
-    follower = StoreFollower("kind", cast(StoreClient, store), taken, health, duty=duty)
+    """Guards against resuming at an old revision whose history is gone."""
+    recorder, duty = RecordingFollower(known_revision=40), FakeDuty(others_watch=True)
+    follower = StoreFollower(
+        "kind", cast(StoreClient, store), recorder, health, duty=duty
+    )
     task = asyncio.create_task(follower.async_run())
     try:
         await asyncio.sleep(0.01)
         assert store.waits.empty()
-        duty.is_others = False
+        duty.others_watch = False
         await next_wait(store)
         assert store.watched_from == [40]
     finally:
--- a/tests/discovery/test_target_directory.py
+++ b/tests/discovery/test_target_directory.py
@@ -1,4 +1,4 @@
-"""Tests of what is known of targets."""
+"""Tests of the target directory."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from tests.discovery.conftest import DRAIN, entry, ids, removed, target
 
 
-def test_leaving_target_gets_nothing_after_its_drain_time(
+def test_leaving_target_gets_no_requests_after_its_drain_time(
     directory: TargetDirectory,
 ) -> None:
-    """New keys go elsewhere at once; what is its own may go on for a while."""
+    """New keys go to other targets; own keys are served for the drain time."""
     directory.adopt_changes((entry("a", 3, state="draining"),), 3, 10.0)
     assert ids(directory) == {"b"}
     assert directory.may_send("a", 10.5)
@@ -19,24 +19,23 @@
 
 
 def test_update_from_a_neighbour_counts_as_old(directory: TargetDirectory) -> None:
-    """Symptom: a request reached a target 2.5 s after it had said that it leaves.
+    """Guards against requests to a target 2.5 seconds after it announced to leave.
 
-    Sequence: an instance learnt of it from a neighbour, most of a second later.
-    Cause: the drain time was counted from then.
+    A neighbour reports the announcement almost a second late. The drain time counted
+    from the report.
     """
-    gone = target("a", 3, is_draining=True)
-    directory.adopt_update([gone], frozenset({"a", "b"}), 3, 10.0)
+    draining = target("a", 3, is_draining=True)
+    directory.adopt_update([draining], frozenset({"a", "b"}), 3, 10.0)
     assert not directory.may_send("a", 10.0 + DRAIN - GOSSIP_LAG)
 
 
-def test_entries_that_lapsed_in_an_outage_may_come_back(
+def test_entries_that_expired_in_an_outage_may_return(
     directory: TargetDirectory, health: StoreHealth
 ) -> None:
-    """Symptom: all keys moved after an outage of the store.
+    """Guards against moving all keys after an outage of the store.
 
-    Sequence: entries ran out while the store was away; the first list after its return
-    lacked them; the targets registered again within two seconds.
-    Cause: a missing entry was taken for a target that left.
+    Entries expire during the outage and are missing from the first list after it, and
+    the targets register again within 2 seconds. A missing entry counted as leaving.
     """
     health.record_failure("away", 10.0)
     health.record_answer(15.0)
@@ -47,10 +46,10 @@
     assert ids(directory) == {"a", "b"}
 
 
-def test_entries_that_stay_away_after_an_outage_are_gone(
+def test_entries_still_missing_after_an_outage_count_as_removed(
     directory: TargetDirectory, health: StoreHealth
 ) -> None:
-    """One that is still missing after the time for its return has left."""
+    """A target that has not registered again in time is leaving."""
     health.record_failure("away", 10.0)
     health.record_answer(15.0)
     directory.adopt_list((entry("b", 9),), 9, 15.0)
@@ -58,12 +57,12 @@
     assert ids(directory) == {"b"}
 
 
-def test_targets_are_not_known_right_after_a_start(health: StoreHealth) -> None:
-    """Symptom: most keys had no owner for 5 s after an outage of the store.
+def test_directory_is_incomplete_right_after_a_start(health: StoreHealth) -> None:
+    """Guards against most keys without an owner for 5 seconds after a store outage.
 
-    Sequence: the assigner ended in the outage and started again at its end; the lease
-    of its earlier incarnation was its own at once; its list lacked the targets whose
-    entries had lapsed. Cause: it planned moves away from targets that it did not know.
+    The assigner restarts at the end of the outage and regains the lease of its previous
+    incarnation immediately, but its list lacks the targets whose entries expired. It
+    planned moves away from these targets.
     """
     directory = TargetDirectory(health, DRAIN)
     assert not directory.is_likely_complete(15.0)
@@ -72,35 +71,37 @@
     assert directory.is_likely_complete(15.0 + REREGISTRATION_TIME)
 
 
-def test_targets_that_were_known_before_an_outage_are_known_after_it(
+def test_directory_from_before_an_outage_stays_complete(
     directory: TargetDirectory, health: StoreHealth
 ) -> None:
-    """Who knew them may assign keys at once."""
+    """Guards against an assigner that waits although it knows all targets."""
     health.record_failure("away", 10.0)
     health.record_answer(15.0)
     directory.adopt_list((entry("b", 9),), 9, 15.0)
     assert directory.is_likely_complete(15.0)
 
 
-def test_older_lists_and_changes_are_passed_over(directory: TargetDirectory) -> None:
-    """A stale answer never turns the list back."""
+def test_older_lists_and_changes_are_ignored(directory: TargetDirectory) -> None:
+    """An outdated answer does not revert newer state."""
     directory.adopt_changes((entry("a", 5, state="draining"),), 5, 1.0)
     directory.adopt_list((entry("a", 1), entry("b", 2)), 2, 2.0)
     directory.adopt_changes((entry("a", 4),), 4, 2.0)
     assert ids(directory) == {"b"}
 
 
-def test_newcomer_at_an_address_shows_that_the_other_is_gone(
+def test_new_target_at_an_address_replaces_the_previous_one(
     directory: TargetDirectory,
 ) -> None:
-    """Two targets never share an address; nothing more goes to the earlier one."""
+    """Two targets never share an address, so the previous one gets no more requests."""
     directory.adopt_changes((entry("c", 6, address="a:1"),), 6, 1.0)
     assert not directory.may_send("a", 1.0)
     assert ids(directory) == {"b", "c"}
 
 
-def test_removed_entry_is_a_target_that_leaves(directory: TargetDirectory) -> None:
-    """Some targets say nothing before they leave."""
+def test_target_is_leaving_after_the_removal_of_its_entry(
+    directory: TargetDirectory,
+) -> None:
+    """Some targets leave without announcing it."""
     directory.adopt_changes((removed("a", 4),), 4, 1.0)
     assert ids(directory) == {"b"}
     assert directory.may_send("a", 1.5)
--- a/tests/discovery/test_target_lives.py
+++ b/tests/discovery/test_target_lives.py
@@ -1,4 +1,4 @@
-"""Tests of targets that start again under their names."""
+"""Tests of targets that restart under the same name."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 @pytest.fixture(name="restarting")
 def restarting_fixture(health: StoreHealth) -> TargetDirectory:
-    """Return a directory with a life of target a that began at 100."""
+    """Return a directory with a life of target a that started at 100."""
     directory = TargetDirectory(health, DRAIN)
     directory.set_services({"desk"}, 0.0)
     directory.adopt_list((entry("a", 1, born=100), entry("b", 2)), 2, 0.0)
     return directory
 
 
-def test_entry_with_another_start_ends_the_former_life(
+def test_entry_with_new_start_replaces_previous_life(
     restarting: TargetDirectory,
 ) -> None:
-    """Symptom: a target that had just started counted as holder of its old keys.
+    """Guards against a restarted target that counts as owner of its previous keys.
 
-    Sequence: it crashed and registered again under its name, which had never been
-    removed. Cause: a name stood for the same target as before.
+    This happened if targets were identified by name only, and the entry was overwritten
+    after a crash without being removed.
     """
     restarting.adopt_changes((entry("a", 5, born=200),), 5, 10.0)
     assert ids(restarting) == {"a@200", "b"}
@@ -33,32 +33,32 @@
     assert restarting.seen_since_by_id["a@200"] == 10.0
 
 
-def test_list_with_another_start_ends_the_former_life(
+def test_list_with_new_start_replaces_previous_life(
     restarting: TargetDirectory,
 ) -> None:
-    """A restart that was missed shows in the next list."""
+    """A restart whose change was missed is detected in the next list."""
     restarting.adopt_list((entry("a", 5, born=200), entry("b", 2)), 5, 10.0)
     assert ids(restarting) == {"a@200", "b"}
     assert "a@100" in restarting.replaced_ids
 
 
-def test_neighbours_word_of_another_start_ends_the_former_life(
+def test_neighbour_update_with_new_start_replaces_previous_life(
     restarting: TargetDirectory,
 ) -> None:
-    """Neighbours tell lives apart as the store does."""
-    told = target("a", 5, born=200)
-    restarting.adopt_update([told], frozenset({"a@200", "b"}), 5, 10.0)
+    """Updates from neighbours distinguish lives as those from the store do."""
+    reported = target("a", 5, born=200)
+    restarting.adopt_update([reported], frozenset({"a@200", "b"}), 5, 10.0)
     assert ids(restarting) == {"a@200", "b"}
     assert "a@100" in restarting.replaced_ids
 
 
-def test_older_entry_does_not_bring_a_former_life_back(
+def test_older_entry_does_not_restore_previous_life(
     restarting: TargetDirectory,
 ) -> None:
-    """Symptom: requests and keys went to a life that had ended.
+    """Guards against requests and keys for a terminated life.
 
-    Sequence: the new life was known; a watch that stood behind brought an entry of the
-    former one. Cause: each life's entry was compared with its own revision only.
+    This happened if an entry was compared only with the revision of its own life, and a
+    watch that lagged behind returned an entry of the previous life.
     """
     restarting.adopt_changes((entry("a", 5, born=200),), 5, 10.0)
     restarting.adopt_changes((entry("a", 3, born=100),), 5, 10.1)
@@ -67,30 +67,30 @@
     assert not restarting.may_send("a@100", 10.2)
 
 
-def test_start_that_a_clock_set_back_is_a_new_life(
+def test_earlier_start_after_clock_change_is_a_new_life(
     restarting: TargetDirectory,
 ) -> None:
-    """Starts are told by clocks, so the store's revision decides which is newer."""
+    """The store revision, not the clock of the target, decides which life is newer."""
     restarting.adopt_changes((entry("a", 5, born=50),), 5, 10.0)
     assert ids(restarting) == {"a@50", "b"}
 
 
-def test_new_life_is_not_ended_by_the_removal_before_it(
+def test_removal_of_previous_life_does_not_affect_new_life(
     restarting: TargetDirectory,
 ) -> None:
-    """The removal of the former life's entry comes late and is older."""
+    """The removal of the previous entry arrives late and has an older revision."""
     restarting.adopt_changes((entry("a", 5, born=200),), 5, 10.0)
     restarting.adopt_changes((removed("a", 4),), 5, 10.1)
     assert ids(restarting) == {"a@200", "b"}
 
 
-def test_entry_without_the_start_that_is_known_is_another_writers(
+def test_entry_without_the_known_start_is_unusable(
     restarting: TargetDirectory,
 ) -> None:
-    """Symptom: a live target was taken for a new one that holds nothing.
+    """Guards against a live target that is replaced by a new life without keys.
 
-    Sequence: another writer replaced its entry without the start. Cause: a start that
-    is not told counted as another one.
+    This happened if a missing start time counted as a different one, and another writer
+    overwrote the entry without it.
     """
     restarting.adopt_changes((entry("a", 5),), 5, 10.0)
     assert ids(restarting) == {"b"}
@@ -99,13 +99,12 @@
     assert "a@100" in restarting.targets_by_id
 
 
-def test_earlier_holder_of_an_address_is_gone_in_whatever_order_they_are_listed(
+def test_previous_target_at_an_address_is_replaced_in_any_list_order(
     health: StoreHealth,
 ) -> None:
-    """Symptom: a new target got no requests, and its dead predecessor did.
+    """Guards against requests to a crashed target instead of the one at its address.
 
-    Sequence: the first list held a crashed target's entry behind that of the one which
-    had its address by then. Cause: the later one in the list counted as the newer.
+    This happened if the later of two entries in a list counted as the newer one.
     """
     directory = TargetDirectory(health, DRAIN)
     directory.set_services({"desk"}, 0.0)
@@ -114,10 +113,10 @@
     assert ids(directory) == {"b"}
 
 
-def test_forgotten_life_leaves_its_name_to_the_present_one(
+def test_removal_of_previous_life_keeps_current_life(
     restarting: TargetDirectory,
 ) -> None:
-    """What is dropped is the life that ended."""
+    """Removing a terminated life does not affect the current life of its name."""
     restarting.adopt_changes((entry("a", 5, born=200),), 5, 10.0)
     restarting.remove("a@100")
     restarting.adopt_changes((entry("a", 6, born=200, state="draining"),), 6, 11.0)
--- a/tests/discovery/test_unusable_entries.py
+++ b/tests/discovery/test_unusable_entries.py
@@ -1,4 +1,4 @@
-"""Tests of entries that name no target to use."""
+"""Tests of target entries that can't be used."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from tests.discovery.conftest import DRAIN, entry, ids, removed
 
 
-def spoilt(name: str, revision: int) -> PlatformObject:
-    """Return an entry whose content can't be read."""
+def corrupt_entry(name: str, revision: int) -> PlatformObject:
+    """Return an entry with unreadable content."""
     return replace(entry(name, revision), document={"specification": 7})
 
 
-def nameless() -> PlatformObject:
-    """Return an entry whose metadata can't be read."""
+def unreadable_entry() -> PlatformObject:
+    """Return an entry with unreadable metadata."""
     return PlatformObject(
         name="", revision=0, is_deleted=False, document={}, is_readable=False
     )
@@ -27,18 +27,24 @@
 
 @pytest.fixture(name="reasons")
 def reasons_fixture(directory: TargetDirectory) -> list[str]:
-    """Return a list to which each unusable entry's reason is added."""
+    """Return a list that collects the reason of each unusable entry."""
     reasons: list[str] = []
     directory.unusable_entries.on_unusable = reasons.append
     return reasons
 
 
-def test_spoilt_entries_leave_the_others_of_a_list(
+def test_corrupt_entries_do_not_affect_others_in_a_list(
     directory: TargetDirectory, reasons: list[str]
 ) -> None:
-    """Whatever another writer leaves, targets that can be read are used."""
+    """Guards against a list that is rejected because of entries of another writer."""
     directory.adopt_list(
-        (entry("a", 1), spoilt("x", 4), nameless(), entry("b", 2), entry("c", 5)),
+        (
+            entry("a", 1),
+            corrupt_entry("x", 4),
+            unreadable_entry(),
+            entry("b", 2),
+            entry("c", 5),
+        ),
         5,
         1.0,
     )
@@ -46,15 +52,15 @@
     assert reasons == ["field", "metadata"]
 
 
-def test_known_target_whose_entry_is_spoilt_is_one_that_leaves(
+def test_known_target_with_a_corrupt_entry_is_leaving(
     directory: TargetDirectory, reasons: list[str]
 ) -> None:
-    """Symptom: keys were granted to a second target while the first still held them.
+    """Guards against keys granted to a second target while the first holds them.
 
-    Sequence: another writer spoilt the entry of a target that held keys.
-    Cause: what can't be read would be dropped; its address is needed to release.
+    This happened if a target with a corrupt entry was removed: its address is needed
+    to release its keys.
     """
-    directory.adopt_changes((spoilt("a", 4),), 4, 10.0)
+    directory.adopt_changes((corrupt_entry("a", 4),), 4, 10.0)
     assert ids(directory) == {"b"}
     assert directory.may_send("a", 10.5)
     assert not directory.may_send("a", 10.0 + DRAIN)
@@ -63,40 +69,40 @@
     assert reasons == ["field"]
 
 
-def test_target_whose_entry_is_mended_serves_again(directory: TargetDirectory) -> None:
-    """The next report of the target itself replaces what another writer left."""
-    directory.adopt_changes((spoilt("a", 4),), 4, 10.0)
+def test_target_with_a_repaired_entry_serves_again(directory: TargetDirectory) -> None:
+    """The next report of a target overwrites the entry of another writer."""
+    directory.adopt_changes((corrupt_entry("a", 4),), 4, 10.0)
     directory.adopt_changes((entry("a", 5),), 5, 11.0)
     assert ids(directory) == {"a", "b"}
     assert len(directory.listed_targets()) == 2
 
 
-def test_spoilt_entry_from_before_is_passed_over(
+def test_outdated_corrupt_entry_is_ignored(
     directory: TargetDirectory, reasons: list[str]
 ) -> None:
-    """A watch that stands behind spoils nothing that is known by now."""
+    """A corrupt entry returned by a lagging watch does not affect newer state."""
     directory.adopt_changes((entry("a", 6),), 6, 10.0)
-    directory.adopt_changes((spoilt("a", 4),), 6, 10.1)
+    directory.adopt_changes((corrupt_entry("a", 4),), 6, 10.1)
     assert ids(directory) == {"a", "b"}
     assert not reasons
 
 
-def test_entry_without_a_readable_revision_makes_its_target_leave(
+def test_target_is_leaving_if_its_entry_has_no_readable_revision(
     directory: TargetDirectory,
 ) -> None:
-    """A good entry of any later revision brings it back."""
-    odd = replace(entry("a", 0), is_readable=False)
-    directory.adopt_changes((odd,), 9, 10.0)
+    """A valid entry with any later revision restores the target."""
+    entry_without_revision = replace(entry("a", 0), is_readable=False)
+    directory.adopt_changes((entry_without_revision,), 9, 10.0)
     assert ids(directory) == {"b"}
     directory.adopt_changes((entry("a", 5),), 10, 11.0)
     assert ids(directory) == {"a", "b"}
 
 
-def test_spoilt_entry_that_is_removed_is_a_target_that_left(
+def test_removal_of_a_corrupt_entry_keeps_the_start_of_leaving(
     directory: TargetDirectory,
 ) -> None:
-    """The drain time counts from what was seen first."""
-    directory.adopt_changes((spoilt("a", 4),), 4, 10.0)
+    """The drain time counts from the first sign of leaving."""
+    directory.adopt_changes((corrupt_entry("a", 4),), 4, 10.0)
     directory.adopt_changes((removed("a", 6),), 6, 11.0)
     assert directory.leaving_since_by_id["a"] == 10.0
 
@@ -104,16 +110,16 @@
 def test_entry_that_is_marked_for_deletion_is_missing(
     directory: TargetDirectory,
 ) -> None:
-    """One that waits for its finalizers still lies in the list."""
+    """An entry that waits for its finalizers is still in the list."""
     deleting = replace(entry("a", 4), is_deleted=True)
     directory.adopt_list((deleting, entry("b", 2)), 5, 10.0)
     assert ids(directory) == {"b"}
 
 
-def test_target_of_another_service_than_before_is_another_writers(
+def test_entry_with_a_changed_service_is_unusable(
     directory: TargetDirectory, reasons: list[str]
 ) -> None:
-    """A life serves one service; it may hold keys of that one."""
+    """A life serves one service and may hold keys of it."""
     other = entry("a", 4)
     other.document["specification"]["information"]["service"] = "vault"
     directory.adopt_changes((other,), 4, 10.0)
@@ -122,41 +128,40 @@
     assert reasons == ["service"]
 
 
-def test_lines_about_spoilt_entries_have_a_bound(
+def test_log_lines_about_corrupt_entries_are_limited(
     directory: TargetDirectory, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Symptom: the logs were full of one line.
+    """Guards against a log flooded with lines about unusable entries.
 
-    Sequence: another writer spoilt hundreds of entries; each list held them.
-    Cause: a line was written for each.
+    Another writer may corrupt hundreds of entries, and each list contains them.
     """
     lines: list[object] = []
     monkeypatch.setattr(
         unusable_entries, "log_message", lambda **fields: lines.append(fields)
     )
     for number in range(50):
-        directory.adopt_changes((spoilt(f"x{number}", 10 + number),), 60, 10.0)
+        directory.adopt_changes((corrupt_entry(f"x{number}", 10 + number),), 60, 10.0)
     assert len(lines) == unusable_entries.MAX_UNUSABLE_LINES_PER_SECOND
 
 
-def test_all_entries_spoilt_while_the_store_settles(
+def test_corrupt_entry_while_the_store_settles(
     directory: TargetDirectory, health: StoreHealth
 ) -> None:
-    """What can't be read is not taken for an entry that lapsed."""
+    """A corrupt entry does not count as one that expired during an outage."""
     health.record_failure("away", 10.0)
     health.record_answer(15.0)
-    directory.adopt_list((spoilt("a", 8), entry("b", 2)), 9, 15.0)
+    directory.adopt_list((corrupt_entry("a", 8), entry("b", 2)), 9, 15.0)
     assert ids(directory) == {"b"}
 
 
-def test_entry_of_an_unknown_service_does_not_replace_who_has_its_address(
+def test_entry_of_an_undeclared_service_replaces_no_target_at_its_address(
     directory: TargetDirectory,
 ) -> None:
-    """Symptom: a live target got no more requests.
+    """Guards against a live target that gets no more requests.
 
-    Sequence: another writer's entry, well formed but for a service that nobody
-    declared, named the target's address.
-    Cause: whoever registered last at an address counted as having it.
+    This happened if the last target registered at an address replaced the others:
+    another writer's entry for an undeclared service may name the address of a live
+    target.
     """
     directory.adopt_changes((entry("c", 3, service="nobody's", address="b:1"),), 3, 1.0)
     directory.adopt_changes((entry("d", 4, address="c:1"),), 4, 1.0)
@@ -164,10 +169,10 @@
     assert directory.may_send("d", 1.0)
 
 
-def test_service_that_is_declared_later_has_its_targets(
+def test_entry_of_a_service_declared_later_replaces_a_target_at_its_address(
     directory: TargetDirectory,
 ) -> None:
-    """The address of a target that is gone goes to one of a service just declared."""
+    """The newer entry replaces the other target once its service is declared."""
     directory.adopt_changes((entry("c", 3, service="new", address="b:1"),), 3, 1.0)
     assert directory.may_send("b", 1.0)
     directory.set_services({"desk", "new"}, 2.0)
--- a/tests/discovery/test_update_sequences.py
+++ b/tests/discovery/test_update_sequences.py
@@ -1,4 +1,4 @@
-"""Random orders of lists, watches and neighbours' updates."""
+"""Property test of lists, watch answers and neighbour updates in random order."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Write:
-    """A write of an entry: a target's start, its report, or a removal."""
+    """A write to an entry: the start of a target, its report, or a removal."""
 
     name: str
     kind: str
@@ -30,35 +30,35 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Update:
-    """Something that arrives: a list, a watch's answer or a neighbour's update."""
+    """A received list, watch answer or neighbour update."""
 
     kind: str
     revision: int
-    """Revision of the store at which it was made; those of the history are taken."""
+    """Store revision of the update, limited to the revisions of the history."""
 
 
 @dataclass(kw_only=True)
 class History:
-    """What was written, by revision, beginning with 1."""
+    """All writes in order of revision, starting at 1."""
 
     changes: list[PlatformObject] = field(default_factory=list)
     starts_by_name: dict[str, int] = field(default_factory=dict)
 
     def write(self, write: Write) -> None:
-        """Note a write; the removal of what is not there is none."""
+        """Add a write; the removal of a missing entry is ignored."""
         revision = len(self.changes) + 1
         if write.kind == REMOVAL:
             if write.name in self.entries_at(revision):
                 self.changes.append(removed(write.name, revision))
             return
         if write.kind == START or write.name not in self.starts_by_name:
-            # Clocks may be set back, so a later start need not be a higher number.
+            # Clocks may be set back, so a later start may have a lower number.
             self.starts_by_name[write.name] = 1000 - revision
         born = self.starts_by_name[write.name]
         self.changes.append(entry(write.name, revision, born=born))
 
     def entries_at(self, revision: int) -> dict[str, PlatformObject]:
-        """Return the entries that were there at a revision, by name."""
+        """Return the entries that existed at a revision, by name."""
         entries: dict[str, PlatformObject] = {}
         for change in self.changes[:revision]:
             entries.pop(change.name, None)
@@ -67,8 +67,8 @@
         return entries
 
     def targets_at(self, revision: int) -> list[Target]:
-        """Return the targets that were there at a revision."""
-        return [decode_target(found) for found in self.entries_at(revision).values()]
+        """Return the targets that existed at a revision."""
+        return [decode_target(item) for item in self.entries_at(revision).values()]
 
 
 writes = st.builds(
@@ -76,17 +76,17 @@
     name=st.sampled_from(NAMES),
     kind=st.sampled_from([START, REPORT, REMOVAL]),
 )
-arrivals = st.builds(
+received_updates = st.builds(
     Update,
     kind=st.sampled_from(["list", "watch", "neighbour"]),
     revision=st.integers(1, 12),
 )
 
 
-def arrive(
+def apply_update(
     directory: TargetDirectory, history: History, update: Update, watched: int
 ) -> int:
-    """Hand an update on; return up to which revision the watch has come."""
+    """Apply an update; return the revision that the watch has reached."""
     revision = min(update.revision, len(history.changes))
     match update.kind:
         case "list":
@@ -98,32 +98,34 @@
             directory.adopt_changes(changes, revision, 1.0)
             return revision
         case _:
-            told = history.targets_at(revision)
-            changed = [found for found in told if found.revision > directory.version]
-            present = frozenset(found.id for found in told)
+            reported = history.targets_at(revision)
+            changed = [item for item in reported if item.revision > directory.version]
+            present = frozenset(item.id for item in reported)
             directory.adopt_update(changed, present, revision, 1.0)
     return watched
 
 
-@given(st.lists(writes, min_size=1, max_size=12), st.lists(arrivals, max_size=12))
-def test_picture_is_the_stores_at_the_latest_revision_that_was_told(
-    written: list[Write], arrived: list[Update]
+@given(
+    st.lists(writes, min_size=1, max_size=12), st.lists(received_updates, max_size=12)
+)
+def test_directory_matches_the_store_at_the_latest_received_revision(
+    write_sequence: list[Write], updates: list[Update]
 ) -> None:
-    """Symptom: requests went to a target that had left, or that had started again.
+    """Guards against requests to targets that left or restarted.
 
-    Sequence: any order of updates from the store and from neighbours, each from any
-    time. Cause: some of it was older than what was known, and was taken.
+    This happened if an update from the store or a neighbour was applied although it was
+    older than the known state. The updates arrive in any order and from any revision.
     """
     history = History()
-    for write in written:
+    for write in write_sequence:
         history.write(write)
     directory = TargetDirectory(StoreHealth(), DRAIN)
     directory.set_services({"desk"}, 0.0)
     watched = 0
     latest = 0
-    for update in arrived:
-        watched = arrive(directory, history, update, watched)
+    for update in updates:
+        watched = apply_update(directory, history, update, watched)
         assert directory.version >= latest
         latest = directory.version
-        assert ids(directory) == {found.id for found in history.targets_at(latest)}
-        assert {found.id for found in directory.listed_targets()} == ids(directory)
+        assert ids(directory) == {item.id for item in history.targets_at(latest)}
+        assert {item.id for item in directory.listed_targets()} == ids(directory)
