--- a/tests/router/retry_fleet.py
+++ b/tests/router/retry_fleet.py
@@ -144,9 +144,9 @@
     def _max_retries(self, end: float) -> float:
         """Return the number of retries allowed in the window that ends at a time."""
         requests = max(
-            bisect_right(self.requests, end - back)
-            - bisect_left(self.requests, end - back - WINDOW)
-            for back in (0.0, WINDOW / 2, WINDOW)
+            bisect_right(self.requests, end - offset)
+            - bisect_left(self.requests, end - offset - WINDOW)
+            for offset in (0.0, WINDOW / 2, WINDOW)
         )
         return RATIO * requests + SLACK
 
@@ -217,9 +217,11 @@
             len(linked), self._announced_members
         )
         for instance in linked:
-            heard_at = self.now + self.random.uniform(0.0, HEARTBEAT_INTERVAL)
-            hear = partial(self._receive_heartbeat, instance, self._announced_members)
-            self._schedule_at_instance(instance, heard_at, hear)
+            received_at = self.now + self.random.uniform(0.0, HEARTBEAT_INTERVAL)
+            receive = partial(
+                self._receive_heartbeat, instance, self._announced_members
+            )
+            self._schedule_at_instance(instance, received_at, receive)
 
     def _receive_heartbeat(self, instance: Instance, members: int) -> None:
         """Receive a heartbeat of the lease holder at an instance."""
--- a/tests/router/slow_links.py
+++ b/tests/router/slow_links.py
@@ -101,7 +101,7 @@
         self.heartbeat_delays: list[float] = []
         self.adopted_at_by_version: dict[int, float] = {}
         self.configuration.on_change = self._note_adopted
-        rest: dict[str, Any] = {
+        other_parts: dict[str, Any] = {
             "links": self,
             "lease": SimpleNamespace(is_held=lambda now: False),
             "permits": SimpleNamespace(
@@ -111,7 +111,9 @@
             "maps": SimpleNamespace(version=(0, 0), maps_by_service={}),
             "directory": SimpleNamespace(version=0, evacuations=Evacuations(None)),
         }
-        self.gossip = Gossip(incarnation=name, configuration=self.configuration, **rest)
+        self.gossip = Gossip(
+            incarnation=name, configuration=self.configuration, **other_parts
+        )
 
     def live_links(self) -> list[PeerLink]:
         """Return the links that have not timed out."""
--- a/tests/router/store_standin.py
+++ b/tests/router/store_standin.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class StoreCopy:
+class StoreBackup:
     """Backup of the store's content."""
 
     objects_by_path: dict[tuple[str, str], dict[str, Any]]
@@ -73,9 +73,11 @@
 
     def put(self, kind: str, name: str, content: object) -> None:
         """Write an object, as operators and targets do."""
-        known = self.objects_by_path.get((kind, name))
+        existing = self.objects_by_path.get((kind, name))
         self.revision += 1
-        created = self.revision if known is None else known["metadata"]["create_rev"]
+        created = (
+            self.revision if existing is None else existing["metadata"]["create_rev"]
+        )
         self._store(kind, name, created, content)
 
     def remove(self, kind: str, name: str) -> None:
@@ -85,24 +87,24 @@
         removed["metadata"]["revision"] = self.revision
         self._append_event(kind, removed, deleted=True)
 
-    def copy(self) -> StoreCopy:
+    def copy(self) -> StoreBackup:
         """Return a backup of the current content."""
-        return StoreCopy(
+        return StoreBackup(
             objects_by_path=deepcopy(self.objects_by_path), revision=self.revision
         )
 
-    def restore(self, copy: StoreCopy) -> None:
+    def restore(self, backup: StoreBackup) -> None:
         """Restore a backup; later writes are lost."""
-        self.objects_by_path = deepcopy(copy.objects_by_path)
-        self.revision = self._oldest_revision = copy.revision
+        self.objects_by_path = deepcopy(backup.objects_by_path)
+        self.revision = self._oldest_revision = backup.revision
         self._events.clear()
         self.era = str(int(self.era or 0) + 1)
-        self._wake()
+        self._notify_watches()
 
     def forget_history(self) -> None:
         """Drop the history, so that watches from older revisions get 410."""
         self._oldest_revision = self.revision
-        self._wake()
+        self._notify_watches()
 
     def _store(self, kind: str, name: str, created: int, content: object) -> None:
         item = {
@@ -121,9 +123,9 @@
 
     def _append_event(self, kind: str, item: dict[str, Any], *, deleted: bool) -> None:
         self._events.append((self.revision, kind, item, deleted))
-        self._wake()
+        self._notify_watches()
 
-    def _wake(self) -> None:
+    def _notify_watches(self) -> None:
         changed, self._changed = self._changed, asyncio.Event()
         changed.set()
 
@@ -149,7 +151,11 @@
             return self._write(request, kind, name, document)
         if "watch" in request.query:
             return await self._async_watch(kind, request)
-        items = [item for (of, _), item in self.objects_by_path.items() if of == kind]
+        items = [
+            item
+            for (item_kind, _), item in self.objects_by_path.items()
+            if item_kind == kind
+        ]
         return json_response({"items": items, "more": False, "at": self.revision})
 
     async def _async_object(self, request: Request) -> Response:
@@ -157,15 +163,15 @@
         if (outage := await self._async_outage()) is not None:
             return outage
         kind, name = request.match_info["kind"], request.match_info["name"]
-        known = self.objects_by_path.get((kind, name))
-        if known is None:
+        existing = self.objects_by_path.get((kind, name))
+        if existing is None:
             return Response(status=404)
         if request.method == "GET":
-            return json_response(known)
+            return json_response(existing)
         document = await request.json()
         expected = document["metadata"].get("revision")
-        if expected not in (None, known["metadata"]["revision"]):
-            return json_response(known, status=409)
+        if expected not in (None, existing["metadata"]["revision"]):
+            return json_response(existing, status=409)
         return self._write(request, kind, name, document)
 
     def _write(
@@ -186,8 +192,8 @@
                 return Response(status=410)
             events = [
                 {"object": item, "deleted": deleted}
-                for revision, of, item, deleted in self._events
-                if revision > since and of == kind
+                for revision, event_kind, item, deleted in self._events
+                if revision > since and event_kind == kind
             ]
             if events and self.loses_watches:
                 self.lost_watches += 1
--- a/tests/router/target_standin.py
+++ b/tests/router/target_standin.py
@@ -91,8 +91,8 @@
             (first, last, fence)
             for first, last, fence in self.granted_fences
             if any(
-                low <= last and first <= high and fence <= earlier
-                for low, high, earlier in self.earlier_fences
+                low <= last and first <= high and fence <= earlier_fence
+                for low, high, earlier_fence in self.earlier_fences
             )
         ]
 
--- a/tests/router/test_configuration_lag.py
+++ b/tests/router/test_configuration_lag.py
@@ -73,13 +73,13 @@
 
 async def test_route_of_a_newer_configuration_is_not_denied(site: Site) -> None:
     """Guards against a final 404 for a route in force at another instance."""
-    behind = site.routers_by_name["i1"]._configuration
-    behind.adopt_changes = lambda *args, **kwargs: None  # type: ignore[method-assign]
-    behind.adopt_packed = lambda *args: None  # type: ignore[method-assign]
+    outdated = site.routers_by_name["i1"]._configuration
+    outdated.adopt_changes = lambda *args, **kwargs: None  # type: ignore[method-assign]
+    outdated.adopt_packed = lambda *args: None  # type: ignore[method-assign]
     added = route("/added/", "safe")
     site.store.put("config", "main", configuration(2, [*ROUTES, added]))
-    ahead = site.routers_by_name["i0"]._configuration
-    await site.async_wait(lambda: ahead.version == 2)
+    updated = site.routers_by_name["i0"]._configuration
+    await site.async_wait(lambda: updated.version == 2)
     await asyncio.sleep(LIMIT + 1.0)
     assert (await site.async_call("/added/x", via="i0")).status == 200
     for path in ("/added/x", "/read/x"):
--- a/tests/router/test_poison_reports.py
+++ b/tests/router/test_poison_reports.py
@@ -37,14 +37,14 @@
     """The instance that counts sends the quarantine, and the others apply it."""
     member = FakeLink("member")
     links = make_links(member)
-    counting = PoisonReports(links, KnownLeader(links), PoisonDetector())
+    leader_reports = PoisonReports(links, KnownLeader(links), PoisonDetector())
     for number in range(MIN_CRASHED_TARGETS):
         suspect = pb.Suspect(fingerprint=FINGERPRINT, target=f"t{number}")
-        counting.handle_suspect(suspect, NOW)
+        leader_reports.handle_suspect(suspect, NOW)
     (item,) = member.sent
     poison = PoisonDetector()
-    told = PoisonReports(make_links(), KnownLeader(make_links()), poison)
-    told.handle_quarantine(item.quarantine, NOW)
+    receiver = PoisonReports(make_links(), KnownLeader(make_links()), poison)
+    receiver.handle_quarantine(item.quarantine, NOW)
     assert poison.is_quarantined(FINGERPRINT, NOW)
 
 
--- a/tests/router/test_restore_drills.py
+++ b/tests/router/test_restore_drills.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.router.site import Site
-from tests.router.store_standin import StoreCopy
+from tests.router.store_standin import StoreBackup
 
 KEYS = range(0, 65536, 1021)
 OUTAGE_SECONDS = 0.5
@@ -42,7 +42,7 @@
                     self.conflicting_keys.add(key)
             await asyncio.sleep(0.02)
 
-    async def async_restore(self, copy: StoreCopy) -> None:
+    async def async_restore(self, copy: StoreBackup) -> None:
         """Simulate a store outage followed by a restore from a copy."""
         store = self.site.store
         store.is_silent = True
--- a/tests/router/test_retry_members.py
+++ b/tests/router/test_retry_members.py
@@ -50,8 +50,8 @@
     """Failure: the remaining instance spent the share that the lost one had spent."""
     await site.async_wait(lambda: members(site) == {"i0": 2, "i1": 2})
     lost = site.leader()
-    (left,) = site.routers_by_name.keys() - {lost}
+    (remaining,) = site.routers_by_name.keys() - {lost}
     await site.async_remove_router(lost)
-    await site.async_wait(lambda: site.leader() == left)
-    await site.async_wait(lambda: members(site)[left] is not None)
-    assert members(site) == {left: 2}
+    await site.async_wait(lambda: site.leader() == remaining)
+    await site.async_wait(lambda: members(site)[remaining] is not None)
+    assert members(site) == {remaining: 2}
