--- a/tests/router/target_standin.py
+++ b/tests/router/target_standin.py
@@ -97,7 +97,7 @@
         ]
 
     def crash(self) -> None:
-        """Stop soon, without notice."""
+        """Simulate a crash: close all connections without notice."""
         loop = asyncio.get_running_loop()
         self.crash_task = loop.create_task(self.async_unload())
 
