--- a/tests/router/test_evacuated_zones.py
+++ b/tests/router/test_evacuated_zones.py
@@ -61,7 +61,7 @@
     assert BOUNDS.evacuation_limit is not None
     try:
         async with asyncio.timeout(BOUNDS.evacuation_limit):
-            while any(owner_of(site, key) in ("e0", "e1") for key in SAMPLE):  # noqa: ASYNC110  # no event tells
+            while any(owner_of(site, key) in ("e0", "e1") for key in SAMPLE):  # noqa: ASYNC110  # no event to wait for
                 await asyncio.sleep(0.01)
     finally:
         stop.set()
--- a/tests/router/test_fleet_size.py
+++ b/tests/router/test_fleet_size.py
@@ -72,9 +72,11 @@
 
 
 @pytest.mark.parametrize("members", [1, 2, 7, 8, 9, 72, 195, 7000])
-@pytest.mark.parametrize("told", [0, 1, 8, 9, 80, 219, 8000])
-def test_announced_count_is_never_below_the_members(members: int, told: int) -> None:
+@pytest.mark.parametrize("announced", [0, 1, 8, 9, 80, 219, 8000])
+def test_announced_count_is_never_below_the_members(
+    members: int, announced: int
+) -> None:
     """Guards against added instances that are not counted until more are added."""
-    count = member_count_to_announce(members, told)
+    count = member_count_to_announce(members, announced)
     assert members <= count <= 1.25 * members + 1
     assert member_count_to_announce(members, count) == count
--- a/tests/router/test_gossip.py
+++ b/tests/router/test_gossip.py
@@ -61,16 +61,16 @@
     return Gossip(incarnation="me", **rest)
 
 
-@pytest.fixture(name="asked")
-def asked_fixture(monkeypatch: pytest.MonkeyPatch) -> list[str]:
+@pytest.fixture(name="requests")
+def requests_fixture(monkeypatch: pytest.MonkeyPatch) -> list[str]:
     """Return a list that records the neighbour of each request."""
-    asked: list[str] = []
+    requests: list[str] = []
 
     def send(link: PeerLink, item: object) -> None:
-        asked.append(link.incarnation)
+        requests.append(link.incarnation)
 
     monkeypatch.setattr(PeerLink, "send", send)
-    return asked
+    return requests
 
 
 def request_again(gossip: Gossip) -> None:
@@ -81,7 +81,7 @@
 
 
 async def test_frozen_neighbour_is_not_asked_again(
-    gossip: Gossip, links: SimpleNamespace, asked: list[str]
+    gossip: Gossip, links: SimpleNamespace, requests: list[str]
 ) -> None:
     """Guards against a removal that is learnt more than a second late.
 
@@ -93,17 +93,17 @@
     links.live_links = lambda: [frozen, responsive]
     request_again(gossip)
     request_again(gossip)
-    assert asked == ["responsive", "responsive"]
+    assert requests == ["responsive", "responsive"]
 
 
 async def test_neighbours_with_a_newer_version_are_asked_in_turn(
-    gossip: Gossip, links: SimpleNamespace, asked: list[str]
+    gossip: Gossip, links: SimpleNamespace, requests: list[str]
 ) -> None:
     """A neighbour that does not answer costs only one request."""
     links.live_links = lambda: [make_link("a", 12), make_link("b", 12)]
     for _ in range(3):
         request_again(gossip)
-    assert asked == ["a", "b", "a"]
+    assert requests == ["a", "b", "a"]
 
 
 def make_holder(targets: int) -> PeerLink:
@@ -201,9 +201,9 @@
     gossip: Gossip, links: SimpleNamespace, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against a new instance that receives all key maps from each neighbour."""
-    asked: list[str | None] = []
+    requests: list[str | None] = []
     monkeypatch.setattr(
-        PeerLink, "send", lambda link, item: asked.append(item.WhichOneof("body"))
+        PeerLink, "send", lambda link, item: requests.append(item.WhichOneof("body"))
     )
     neighbours = [make_link(name, targets=10) for name in "abc"]
     for link in neighbours:
@@ -212,20 +212,24 @@
     links.live_links = lambda: neighbours
     for _ in neighbours:
         gossip.handle_heartbeat()
-    assert asked == ["key_map_ask"]
+    assert requests == ["key_map_ask"]
 
 
 @pytest.mark.parametrize(
-    ("is_lost", "told", "has_source"),
+    ("is_lost", "announced", "has_source"),
     [(False, 0, True), (True, 7, True), (True, 0, False)],
 )
 async def test_missing_configuration_needs_a_source(
-    gossip: Gossip, links: SimpleNamespace, is_lost: bool, told: int, has_source: bool
+    gossip: Gossip,
+    links: SimpleNamespace,
+    is_lost: bool,
+    announced: int,
+    has_source: bool,
 ) -> None:
     """Guards against waiting for a configuration that only a lost instance had."""
     link = make_link("a", targets=10)
     assert link.heartbeat is not None
-    link.heartbeat.configuration = told
+    link.heartbeat.configuration = announced
     links.live_links = lambda: [link]
     if is_lost:
         gossip._health.note_failure("silent", 1.0)
@@ -244,26 +248,26 @@
     gossip.handle_targets(pb.Update(targets=b'[{"name": 3}]', targets_revision=12))
 
 
-@pytest.mark.parametrize(("told", "answers"), [(9, 1), (10, 0)])
+@pytest.mark.parametrize(("announced", "answer_count"), [(9, 1), (10, 0)])
 def test_neighbour_that_caught_up_gets_no_target_list(
-    gossip: Gossip, directory: SimpleNamespace, told: int, answers: int
+    gossip: Gossip, directory: SimpleNamespace, announced: int, answer_count: int
 ) -> None:
     """Guards against a second list in answer to a repeated request."""
     directory.present_targets = list
     directory.targets_since = lambda revision, now: []
-    link = FakeLink("a", targets=told)
+    link = FakeLink("a", targets=announced)
     gossip.send_targets(link, pb.UpdateAsk(targets=8))
-    assert [item.WhichOneof("body") for item in link.sent] == ["update"] * answers
+    assert [item.WhichOneof("body") for item in link.sent] == ["update"] * answer_count
 
 
-@pytest.mark.parametrize(("told", "answers"), [(4, 1), (5, 0)])
+@pytest.mark.parametrize(("announced", "answer_count"), [(4, 1), (5, 0)])
 def test_neighbour_that_caught_up_gets_no_configuration(
-    gossip: Gossip, told: int, answers: int
+    gossip: Gossip, announced: int, answer_count: int
 ) -> None:
     """Guards against a second configuration in answer to a repeated request."""
     known = SimpleNamespace(version=5, packed=b"x")
     gossip._configuration = cast(ConfigurationHolder, known)
-    link = FakeLink("a", configuration=told)
+    link = FakeLink("a", configuration=announced)
     gossip.send_configuration(link, pb.ConfigurationAsk(version=3))
     kinds = [item.WhichOneof("body") for item in link.sent]
-    assert kinds == ["configuration"] * answers
+    assert kinds == ["configuration"] * answer_count
--- a/tests/router/test_key_map_sharing.py
+++ b/tests/router/test_key_map_sharing.py
@@ -22,7 +22,9 @@
 
 def make_sharing(maps: KeyMaps, *links: FakeLink) -> KeyMapSharing:
     """Return the sharing of an instance that must not request any map."""
-    return KeyMapSharing(make_links(*links), maps, lambda link: pytest.fail("asks"))
+    return KeyMapSharing(
+        make_links(*links), maps, lambda link: pytest.fail("unexpected request")
+    )
 
 
 @pytest.fixture(name="maps")
@@ -64,9 +66,9 @@
     ]
 
 
-@pytest.mark.parametrize(("number", "asks"), [(3, 1), (1, 0), (0, 0)])
+@pytest.mark.parametrize(("number", "request_count"), [(3, 1), (1, 0), (0, 0)])
 def test_complete_map_is_requested_only_after_a_gap(
-    maps: KeyMaps, number: int, asks: int
+    maps: KeyMaps, number: int, request_count: int
 ) -> None:
     """Guards against an instance that keeps an old map after a missed change.
 
@@ -78,8 +80,8 @@
     change = OwnerChange(first=5, last=9, owner="t2")
     make_sharing(sender, source).publish(make_map(number - 1).with_changes([change]))
     link = FakeLink("b")
-    asked: list[PeerLink] = []
-    sharing = KeyMapSharing(make_links(), maps, asked.append)
+    requested_links: list[PeerLink] = []
+    sharing = KeyMapSharing(make_links(), maps, requested_links.append)
     sharing.handle_change(link, source.sent[0].key_map_change)
-    assert asked == [link] * asks
+    assert requested_links == [link] * request_count
     assert maps.maps_by_service[SERVICE] == make_map(1)
--- a/tests/router/test_restore_drills.py
+++ b/tests/router/test_restore_drills.py
@@ -66,7 +66,7 @@
     async def async_wait_until_served(self) -> None:
         """Wait until all keys are served again."""
         async with asyncio.timeout(RECOVERY_TIMEOUT):
-            while not await self.async_all_served():  # noqa: ASYNC110  # no event tells
+            while not await self.async_all_served():  # noqa: ASYNC110  # no event to wait for
                 await asyncio.sleep(0.1)
 
 
--- a/tests/router/test_restored_store.py
+++ b/tests/router/test_restored_store.py
@@ -95,13 +95,13 @@
         await client.async_replace("kind", "a", {"x": 3}, seen)
 
 
-@pytest.mark.parametrize("told", ["0", "x", "", "-1", "1e3", "9" * 30])
+@pytest.mark.parametrize("era", ["0", "x", "", "-1", "1e3", "9" * 30])
 async def test_answer_of_an_earlier_or_invalid_era_is_discarded(
-    store: StoreStandin, client: StoreClient, told: str
+    store: StoreStandin, client: StoreClient, era: str
 ) -> None:
     """Guards against a delayed answer that brings lost entries back."""
     await client.async_list("kind")
-    store.era = told
+    store.era = era
     with pytest.raises(StoreUnavailableError):
         await client.async_list("kind")
 
--- a/tests/router/test_watch_duty.py
+++ b/tests/router/test_watch_duty.py
@@ -178,7 +178,7 @@
 ) -> None:
     """Guards against a member that considers the store lost forever."""
     link_all(links, WATCHERS)
-    health.note_failure("away", 10.0)
+    health.note_failure("unavailable", 10.0)
     assert not duty.is_skipped()
     health.note_answer(12.0)
     assert duty.is_skipped()
