--- a/swiftpin/router/request_sender.py
+++ b/swiftpin/router/request_sender.py
@@ -143,7 +143,7 @@
         """
         asked_at = asyncio.get_running_loop().time()
         try:
-            permit_result = await self._permits.async_ask(
+            permit_result = await self._permits.async_request_permit(
                 PermitQuery(
                     service=call.service,
                     target=owner,
@@ -166,7 +166,7 @@
                 StepFailure.NO_SLOT, f"no slot at {owner or 'any target'}"
             )
             raise QueueFullError(
-                "the targets have no free slot in time",
+                "the targets have no room in time",
                 retry_after=decision.retry_after,
             )
         return permit
