--- a/swiftpin/dispatch/http_pool.py
+++ b/swiftpin/dispatch/http_pool.py
@@ -14,7 +14,7 @@
 from swiftpin.dispatch.http_connection import HttpConnection
 from swiftpin.exceptions import RequestNotSentError
 from swiftpin.helpers.address import Address
-from swiftpin.security.client_tls import CLOSE_LIMIT, ClientTls
+from swiftpin.security.client_tls import CLOSE_TIMEOUT, ClientTls
 
 IDLE_LIMIT: Final = 15.0
 """Seconds; well under the time after which servers close idle connections, since a
@@ -137,7 +137,7 @@
                     self.address.host,
                     self.address.port,
                     ssl=None if tls is None else tls.context,
-                    ssl_shutdown_timeout=None if tls is None else CLOSE_LIMIT,
+                    ssl_shutdown_timeout=None if tls is None else CLOSE_TIMEOUT,
                 )
         except (OSError, TimeoutError) as err:
             raise RequestNotSentError(
--- a/swiftpin/gateway/app.py
+++ b/swiftpin/gateway/app.py
@@ -64,8 +64,12 @@
         self._rng = Random(self.instance_id)
         self._trace = _open_trace(settings)
         self._security = security = EdgeSecurity(settings)
-        self._store = security.make_store(self.instance_id, DEFAULT_CALL_TIMEOUT)
-        self._lease_store = security.make_store(self.instance_id, LEASE_STORE_TIMEOUT)
+        self._store = security.create_store_client(
+            self.instance_id, DEFAULT_CALL_TIMEOUT
+        )
+        self._lease_store = security.create_store_client(
+            self.instance_id, LEASE_STORE_TIMEOUT
+        )
         self._lifecycle = Lifecycle()
         self._metrics = Metrics()
         self._catalog = Catalog()
@@ -191,7 +195,7 @@
             peer_listen=str(self.settings.peer_listen),
             seed=self._rng.getrandbits(32),
         )
-        membership.secure(self._security.peer_client, self._security.peers)
+        membership.set_tls(self._security.peer_client, self._security.peers)
         return membership
 
     def _make_ownership(self) -> OwnershipCoordinator:
--- a/swiftpin/gateway/http_listener.py
+++ b/swiftpin/gateway/http_listener.py
@@ -28,8 +28,8 @@
 )
 from swiftpin.gateway.error_answer import error_body, error_headers
 from swiftpin.helpers.address import Address
-from swiftpin.security.client_tls import CLOSE_LIMIT
-from swiftpin.security.server_tls import HANDSHAKE_LIMIT, ServerTls
+from swiftpin.security.client_tls import CLOSE_TIMEOUT
+from swiftpin.security.server_tls import HANDSHAKE_TIMEOUT, ServerTls
 
 HttpHandler = Callable[[BaseRequest], Awaitable[StreamResponse]]
 
@@ -140,8 +140,8 @@
             address.port,
             backlog=BACKLOG,
             ssl=None if tls is None else tls.listen_context,
-            ssl_handshake_timeout=None if tls is None else HANDSHAKE_LIMIT,
-            ssl_shutdown_timeout=None if tls is None else CLOSE_LIMIT,
+            ssl_handshake_timeout=None if tls is None else HANDSHAKE_TIMEOUT,
+            ssl_shutdown_timeout=None if tls is None else CLOSE_TIMEOUT,
         )
         self._socket_server = server
         port = server.sockets[0].getsockname()[1]
--- a/swiftpin/gateway/settings_model.py
+++ b/swiftpin/gateway/settings_model.py
@@ -27,7 +27,7 @@
     Settings,
 )
 from swiftpin.helpers.address import Address, parse_address
-from swiftpin.security.file_rules import check_needs_ca, check_together
+from swiftpin.security.file_rules import check_all_or_none, check_ca_present
 from swiftpin.security.store_files import check_store_files
 
 Name = Annotated[
@@ -89,18 +89,18 @@
     @model_validator(mode="after")
     def _check_files(self) -> Self:
         """Refuse files of which one is of no use without another."""
-        check_together(
+        check_all_or_none(
             ("--listen-tls-cert", self.listen_tls_cert),
             ("--listen-tls-key", self.listen_tls_key),
         )
-        check_together(
+        check_all_or_none(
             ("--peer-tls-cert", self.peer_tls_cert),
             ("--peer-tls-key", self.peer_tls_key),
             ("--peer-tls-ca", self.peer_tls_ca),
         )
         targets_cert = ("--targets-tls-cert", self.targets_tls_cert)
-        check_together(targets_cert, ("--targets-tls-key", self.targets_tls_key))
-        check_needs_ca(targets_cert, ("--targets-tls-ca", self.targets_tls_ca))
+        check_all_or_none(targets_cert, ("--targets-tls-key", self.targets_tls_key))
+        check_ca_present(targets_cert, ("--targets-tls-ca", self.targets_tls_ca))
         check_store_files(
             self.store_url,
             ca=self.store_tls_ca,
--- a/swiftpin/security/client_tls.py
+++ b/swiftpin/security/client_tls.py
@@ -10,7 +10,7 @@
 from swiftpin.security.tls_context import client_context
 from swiftpin.security.tls_files import TlsFiles
 
-CLOSE_LIMIT: Final = 1.0
+CLOSE_TIMEOUT: Final = 1.0
 """Seconds that the other side has to confirm a close; the default of 30 would keep
 sockets of a peer that is gone."""
 
@@ -19,7 +19,7 @@
     """Certificates for connections that are opened here."""
 
     def __init__(self, files: TlsFiles) -> None:
-        super().__init__(files.given, lambda: client_context(files))
+        super().__init__(files.configured_files, lambda: client_context(files))
 
     @property
     @callback
--- a/swiftpin/security/edge_security.py
+++ b/swiftpin/security/edge_security.py
@@ -70,7 +70,7 @@
         await self.target_session.close()
         await self.session.close()
 
-    def make_store(self, instance_id: str, timeout: float) -> StoreClient:
+    def create_store_client(self, instance_id: str, timeout: float) -> StoreClient:
         """Return a client of the store with a time limit in seconds."""
         return StoreClient(
             self.session,
@@ -96,12 +96,12 @@
 
 def _server(files: TlsFiles, protocol: str) -> ServerTls | None:
     """Return the certificates of a port, None without files."""
-    return ServerTls(files, protocol) if files.given else None
+    return ServerTls(files, protocol) if files.configured_files else None
 
 
 def _client(files: TlsFiles) -> ClientTls | None:
     """Return the certificates for connections, None without files."""
-    return ClientTls(files) if files.given else None
+    return ClientTls(files) if files.configured_files else None
 
 
 def _session(tls: ClientTls | None) -> ClientSession:
--- a/swiftpin/security/file_rules.py
+++ b/swiftpin/security/file_rules.py
@@ -12,7 +12,7 @@
     return None if path is None else NamedFile(flag=flag, path=path)
 
 
-def check_together(*files: tuple[str, Path | None]) -> None:
+def check_all_or_none(*files: tuple[str, Path | None]) -> None:
     """Raise `ValueError` unless all flags have a file or none has."""
     given = [named_file(flag, path) for flag, path in files]
     first = next((file for file in given if file is not None), None)
@@ -23,7 +23,9 @@
             raise ValueError(f"{first}: {flag} is needed too")
 
 
-def check_needs_ca(cert: tuple[str, Path | None], ca: tuple[str, Path | None]) -> None:
+def check_ca_present(
+    cert: tuple[str, Path | None], ca: tuple[str, Path | None]
+) -> None:
     """Raise `ValueError` for a client's certificate without a CA for the server."""
     file = named_file(*cert)
     if file is not None and ca[1] is None:
--- a/swiftpin/security/secured_membership.py
+++ b/swiftpin/security/secured_membership.py
@@ -12,7 +12,7 @@
     """`MembershipCoordinator` with TLS on its port and in its calls."""
 
     @callback
-    def secure(self, client: ClientTls | None, server: ServerTls | None) -> None:
+    def set_tls(self, client: ClientTls | None, server: ServerTls | None) -> None:
         """Use the certificates; to be called before the set-up."""
         self.clients.tls = client
         self._server.tls = server
--- a/swiftpin/security/server_tls.py
+++ b/swiftpin/security/server_tls.py
@@ -12,7 +12,7 @@
 ALPN_GRPC: Final = "h2"
 ALPN_HTTP: Final = "http/1.1"
 
-HANDSHAKE_LIMIT: Final = 10.0
+HANDSHAKE_TIMEOUT: Final = 10.0
 """Seconds that a caller has for its handshake."""
 
 
@@ -24,7 +24,9 @@
     """
 
     def __init__(self, files: TlsFiles, protocol: str) -> None:
-        super().__init__(files.given, lambda: server_context(files, protocol))
+        super().__init__(
+            files.configured_files, lambda: server_context(files, protocol)
+        )
         self.listen_context = self.value
         self.listen_context.sni_callback = self._use_current
 
--- a/swiftpin/security/store_access.py
+++ b/swiftpin/security/store_access.py
@@ -33,5 +33,5 @@
         return True if self.tls is None else self.tls.context
 
 
-OPEN_ACCESS: Final = StoreAccess()
+NO_CREDENTIALS: Final = StoreAccess()
 """Neither certificates nor a token."""
--- a/swiftpin/security/store_files.py
+++ b/swiftpin/security/store_files.py
@@ -7,7 +7,7 @@
 
 from swiftpin.security.bearer_token import BearerToken
 from swiftpin.security.client_tls import ClientTls
-from swiftpin.security.file_rules import check_needs_ca, check_together, named_file
+from swiftpin.security.file_rules import check_all_or_none, check_ca_present, named_file
 from swiftpin.security.store_access import StoreAccess
 from swiftpin.security.tls_files import TlsFiles
 
@@ -40,8 +40,8 @@
 
     A CA with `http://` would look as if calls were protected.
     """
-    check_together((FLAG_STORE_CERT, cert), (FLAG_STORE_KEY, key))
-    check_needs_ca((FLAG_STORE_CERT, cert), (FLAG_STORE_CA, ca))
+    check_all_or_none((FLAG_STORE_CERT, cert), (FLAG_STORE_KEY, key))
+    check_ca_present((FLAG_STORE_CERT, cert), (FLAG_STORE_CA, ca))
     is_secure = url.startswith("https://")
     if is_secure and ca is None:
         raise ValueError(f"--store-url {url!r}: {FLAG_STORE_CA} is needed too")
--- a/swiftpin/security/tls_connector.py
+++ b/swiftpin/security/tls_connector.py
@@ -19,7 +19,7 @@
         self.tls = tls
 
 
-def tls_of(session: ClientSession) -> ClientTls | None:
+def session_tls(session: ClientSession) -> ClientTls | None:
     """Return the certificates that a session's calls are to use."""
     connector = session.connector
     return connector.tls if isinstance(connector, TlsConnector) else None
--- a/swiftpin/security/tls_files.py
+++ b/swiftpin/security/tls_files.py
@@ -19,7 +19,7 @@
     key: NamedFile | None = None
 
     @property
-    def given(self) -> tuple[NamedFile, ...]:
+    def configured_files(self) -> tuple[NamedFile, ...]:
         """Return the files that are given."""
         files = (self.ca, self.cert, self.key)
         return tuple(file for file in files if file is not None)
--- a/swiftpin/store/client.py
+++ b/swiftpin/store/client.py
@@ -25,7 +25,7 @@
     StoreOutcomeUnknownError,
     StoreUnavailableError,
 )
-from swiftpin.security.store_access import OPEN_ACCESS, StoreAccess
+from swiftpin.security.store_access import NO_CREDENTIALS, StoreAccess
 from swiftpin.store.listing import Listing
 from swiftpin.store.stored_object import StoredObject
 from swiftpin.store.watch_event import WatchEvent
@@ -93,7 +93,7 @@
         *,
         timeout: float = DEFAULT_CALL_TIMEOUT,
         instance_id: str = "",
-        access: StoreAccess = OPEN_ACCESS,
+        access: StoreAccess = NO_CREDENTIALS,
     ) -> None:
         self._session = session
         self._url = url.rstrip("/")
--- a/swiftpin/targets/client.py
+++ b/swiftpin/targets/client.py
@@ -15,7 +15,7 @@
     TargetRestartedError,
     TargetUnreachableError,
 )
-from swiftpin.security.tls_connector import tls_of
+from swiftpin.security.tls_connector import session_tls
 from swiftpin.targets.fence_reply import FenceReply
 from swiftpin.targets.fence_request import FenceRequest
 from swiftpin.targets.grant_reply import GrantReply
@@ -46,7 +46,7 @@
         self.spec = spec
         self._session = session
         self._timeout = timeout
-        self._tls = tls_of(session)
+        self._tls = session_tls(session)
         scheme = "http" if self._tls is None else "https"
         self._url = f"{scheme}://{spec.address}/_target"
 
--- a/tests/security/test_peer_port.py
+++ b/tests/security/test_peer_port.py
@@ -55,13 +55,13 @@
             monotonic_now(),
         )
         member = self._make("b", self._address)
-        member.secure(None, self._server)
+        member.set_tls(None, self._server)
         await member.async_setup()
 
     async def async_beat(self, client: ClientTls | None) -> bool:
         """Return whether a new connection with these certificates gets through."""
         member = self._make("a", "127.0.0.1:0")
-        member.secure(client, None)
+        member.set_tls(client, None)
         await member.directory.async_refresh()
         try:
             reply = await member.clients.async_heartbeat("b", BEATS)
--- a/tests/security/test_ports.py
+++ b/tests/security/test_ports.py
@@ -187,7 +187,7 @@
     own: Certificates, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Symptom: callers that never finish a handshake use up all sockets."""
-    monkeypatch.setattr(http_listener, "HANDSHAKE_LIMIT", 0.05)
+    monkeypatch.setattr(http_listener, "HANDSHAKE_TIMEOUT", 0.05)
     port = Port(ServerTls(TlsFiles(cert=own.cert, key=own.key), ALPN_HTTP))
     await port.async_setup()
     host, _, number = port.address.partition(":")
