--- a/swiftpin/permits/cold_limit.py
+++ b/swiftpin/permits/cold_limit.py
@@ -8,7 +8,7 @@
 
 from swiftpin.core import callback
 
-EARLY: Final = 0.05
+EARLY_GRANT_TOLERANCE: Final = 0.05
 """Seconds by which a permit may be given before its turn: queues are looked at that
 often."""
 
@@ -60,7 +60,7 @@
         return self._rate if self.is_cold(now) and self._rate else math.inf
 
     @callback
-    def opens_in(self, now: float) -> float:
+    def time_until_permit(self, now: float) -> float:
         """Return the seconds until a permit may be given."""
         if not self.is_cold(now):
             return 0.0
@@ -71,7 +71,7 @@
     def record(self, now: float) -> None:
         """Note that a permit was given."""
         if self.is_cold(now) and self._rate:
-            earliest = max(self._next_at, now - EARLY)
+            earliest = max(self._next_at, now - EARLY_GRANT_TOLERANCE)
             self._next_at = earliest + _interval(self._rate)
 
 
--- a/swiftpin/permits/issuer_choice.py
+++ b/swiftpin/permits/issuer_choice.py
@@ -8,13 +8,13 @@
 
 from swiftpin.core import callback
 
-TARGETS_AN_ISSUER: Final = 16
+TARGETS_PER_ISSUER: Final = 16
 """Targets whose permits one instance hands out. Each permit takes it three messages."""
 
-LEAST_ISSUERS: Final = 3
+MIN_ISSUERS: Final = 3
 """Issuers at least, so that the loss of one leaves most targets' permits untouched."""
 
-STRONG_SHARE: Final = 0.6
+MIN_CPU_CAPACITY_SHARE: Final = 0.6
 """Part of the strongest instance's strength that counts as strong."""
 
 
@@ -42,12 +42,12 @@
     ranked = rank_by_cpu_capacity(cpu_capacity_by_incarnation)
     if not ranked:
         return []
-    count = max(LEAST_ISSUERS, math.ceil(target_count / TARGETS_AN_ISSUER))
-    enough = cpu_capacity_by_incarnation[ranked[0]] * STRONG_SHARE
+    count = max(MIN_ISSUERS, math.ceil(target_count / TARGETS_PER_ISSUER))
+    enough = cpu_capacity_by_incarnation[ranked[0]] * MIN_CPU_CAPACITY_SHARE
     strong = [name for name in ranked if cpu_capacity_by_incarnation[name] >= enough]
-    if len(strong) > count > LEAST_ISSUERS and assigner in strong:
+    if len(strong) > count > MIN_ISSUERS and assigner in strong:
         strong.remove(assigner)
-    if len(strong) >= LEAST_ISSUERS:
+    if len(strong) >= MIN_ISSUERS:
         # Fewer strong issuers bear more than many weak ones.
         ranked = strong
     kept = [name for name in ranked if name in current]
--- a/swiftpin/permits/permit_broker.py
+++ b/swiftpin/permits/permit_broker.py
@@ -13,7 +13,11 @@
 from swiftpin.fleet.proto import fleet_pb2 as pb
 from swiftpin.model.target import Target
 from swiftpin.permits.cold_targets import ALL_WARM, ColdTargets
-from swiftpin.permits.pending_asks import AskEnd, PendingAsk, PendingAsks
+from swiftpin.permits.pending_requests import (
+    AbortReason,
+    PendingRequest,
+    PendingRequests,
+)
 from swiftpin.permits.permit import Permit
 from swiftpin.permits.permit_decision import PermitDecision
 from swiftpin.permits.permit_issuer import PermitIssuer
@@ -37,10 +41,10 @@
         self._zone = zone
         self.issuers: PermitIssuers = NO_ISSUERS
         self._incarnation = incarnation
-        self._own_issuer = PermitIssuer(on_turnaround)
+        self._local_issuer = PermitIssuer(on_turnaround)
         self._links_by_incarnation: dict[str, PeerLink] = {}
-        self._numbers = count(1)
-        self._pending = PendingAsks()
+        self._request_numbers = count(1)
+        self._pending = PendingRequests()
 
     async def async_request_permit(
         self, query: PermitQuery
@@ -53,28 +57,28 @@
         loop = asyncio.get_running_loop()
         service = query.service
         while True:
-            number = next(self._numbers)
-            issuer = self._issuer_of(query.target or service, loop.time())
-            pending = PendingAsk(
+            number = next(self._request_numbers)
+            issuer = self._find_issuer(query.target or service, loop.time())
+            pending = PendingRequest(
                 query=query, future=loop.create_future(), issuer=issuer
             )
             self._pending.add(number, pending)
             try:
                 if issuer is None:
-                    self._ask_self(query, number, loop.time())
+                    self._request_locally(query, number, loop.time())
                 else:
-                    self._ask_peer(issuer, query, number, loop.time())
+                    self._request_from_peer(issuer, query, number, loop.time())
                 decision = await pending.future
             except BaseException:
-                self._end(service, number, issuer, 0.0, failed=False)
+                self._release(service, number, issuer, 0.0, failed=False)
                 raise
             finally:
-                self._pending.drop(number)
+                self._pending.remove(number)
             match decision:
-                case AskEnd():
+                case AbortReason():
                     # A permit may be on its way.
-                    self._end(service, number, issuer, 0.0, failed=False)
-                    if decision is AskEnd.OUTDATED:
+                    self._release(service, number, issuer, 0.0, failed=False)
+                    if decision is AbortReason.OUTDATED:
                         return None
                 case PermitDecision(is_granted=False):
                     return decision, None
@@ -94,7 +98,7 @@
 
         A request that was given up (`abandoned`) would have taken at least as long.
         """
-        self._end(
+        self._release(
             permit.service,
             permit.number,
             permit.issuer,
@@ -115,7 +119,7 @@
 
         Those that are `leaving` serve no more than the keys that they still own.
         """
-        self._own_issuer.set_targets(
+        self._local_issuer.set_targets(
             service,
             targets,
             leaving,
@@ -132,21 +136,21 @@
     @callback
     def remove_link(self, link: PeerLink) -> None:
         """Give up on a link that broke, and what its other side held here."""
-        self._pending.end_of(link)
+        self._pending.abort_for_link(link)
         if self._links_by_incarnation.get(link.incarnation) is link:
             del self._links_by_incarnation[link.incarnation]
         if not link.is_outgoing:
-            self._own_issuer.forget_link(link, asyncio.get_running_loop().time())
+            self._local_issuer.release_link(link, asyncio.get_running_loop().time())
 
     @callback
     def handle_owner_change(self, service: str) -> None:
         """Act on a change of the owners of a service's keys."""
-        self._pending.end_outdated(service)
+        self._pending.abort_outdated(service)
 
     @callback
     def handle_ask(self, link: PeerLink, ask: Item) -> None:
         """Decide for another instance."""
-        self._own_issuer.handle_ask(link, ask, asyncio.get_running_loop().time())
+        self._local_issuer.handle_ask(link, ask, asyncio.get_running_loop().time())
 
     @callback
     def handle_answer(self, link: PeerLink, answer: Item) -> None:
@@ -155,12 +159,12 @@
             target=answer.target if answer.granted else "",
             retry_after=answer.retry_after,
         )
-        self._pending.settle(answer.id, link, decision)
+        self._pending.resolve(answer.id, link, decision)
 
     @callback
     def handle_end(self, link: PeerLink, end: Item) -> None:
         """Take another instance's permit back."""
-        self._own_issuer.handle_end(link, end, asyncio.get_running_loop().time())
+        self._local_issuer.handle_end(link, end, asyncio.get_running_loop().time())
 
     async def async_run(self) -> None:
         """Judge again and again who still waits with a chance, until cancelled."""
@@ -168,17 +172,17 @@
         while True:
             await asyncio.sleep(EXPIRE_INTERVAL)
             now = loop.time()
-            self._own_issuer.expire(now)
-            self._pending.end_silent(now)
+            self._local_issuer.expire(now)
+            self._pending.abort_unresponsive(now)
 
     @callback
-    def _ask_self(self, query: PermitQuery, number: int, now: float) -> None:
+    def _request_locally(self, query: PermitQuery, number: int, now: float) -> None:
         """Have this instance decide."""
 
         def on_decision(decision: PermitDecision) -> None:
-            self._pending.settle(number, None, decision)
+            self._pending.resolve(number, None, decision)
 
-        self._own_issuer.submit(
+        self._local_issuer.submit(
             PermitRequest(
                 id=(self._incarnation, number),
                 service=query.service,
@@ -194,7 +198,7 @@
         )
 
     @callback
-    def _ask_peer(
+    def _request_from_peer(
         self, issuer: PeerLink, query: PermitQuery, number: int, now: float
     ) -> None:
         """Have another instance decide; clocks differ, so it is told what is left."""
@@ -214,7 +218,7 @@
         )
 
     @callback
-    def _end(
+    def _release(
         self,
         service: str,
         number: int,
@@ -226,7 +230,7 @@
     ) -> None:
         """Hand back a permit, or a question that nobody waits for any more."""
         if issuer is None:
-            self._own_issuer.release(
+            self._local_issuer.release(
                 service,
                 (self._incarnation, number),
                 seconds,
@@ -248,7 +252,7 @@
         )
 
     @callback
-    def _issuer_of(self, subject: str, now: float) -> PeerLink | None:
+    def _find_issuer(self, subject: str, now: float) -> PeerLink | None:
         """Return the link to who hands out permits, None for this instance.
 
         Where none can be reached this instance decides by itself; together with
--- a/swiftpin/permits/permit_issuer.py
+++ b/swiftpin/permits/permit_issuer.py
@@ -35,14 +35,14 @@
         cold_by_id: Mapping[str, ColdTarget] | None = None,
     ) -> None:
         """Take the targets of a service and their slots."""
-        self._queue(service).set_targets(
+        self._get_or_create_queue(service).set_targets(
             targets, now, leaving=leaving, cold_by_id=cold_by_id
         )
 
     @callback
     def submit(self, request: PermitRequest, now: float) -> None:
         """Grant, queue or reject a request."""
-        self._queue(request.service).submit(request, now)
+        self._get_or_create_queue(request.service).submit(request, now)
 
     @callback
     def release(
@@ -56,7 +56,7 @@
         now: float,
     ) -> None:
         """Take back a permit, or a request that waits for one."""
-        self._queue(service).release(
+        self._get_or_create_queue(service).release(
             request_id, seconds, failed=failed, abandoned=abandoned, now=now
         )
 
@@ -79,7 +79,7 @@
 
         self.submit(
             PermitRequest(
-                id=(_asker(link), number),
+                id=(_requester_id(link), number),
                 service=ask.service,
                 target=ask.target,
                 avoided=ask.avoided,
@@ -97,7 +97,7 @@
         """Take another instance's permit back."""
         self.release(
             end.service,
-            (_asker(link), end.id),
+            (_requester_id(link), end.id),
             end.seconds,
             failed=end.failed,
             abandoned=end.cut,
@@ -105,10 +105,10 @@
         )
 
     @callback
-    def forget_link(self, link: PeerLink, now: float) -> None:
+    def release_link(self, link: PeerLink, now: float) -> None:
         """Take back what was given over a link that broke."""
         for queue in self._queues_by_service.values():
-            queue.end_all_of(_asker(link), now)
+            queue.release_all(_requester_id(link), now)
 
     @callback
     def expire(self, now: float) -> None:
@@ -117,7 +117,7 @@
             queue.expire(now)
 
     @callback
-    def _queue(self, service: str) -> PermitQueue:
+    def _get_or_create_queue(self, service: str) -> PermitQueue:
         """Return the queue of a service."""
         queue = self._queues_by_service.get(service)
         if queue is None:
@@ -128,7 +128,7 @@
 
 
 @callback
-def _asker(link: PeerLink) -> str:
+def _requester_id(link: PeerLink) -> str:
     """Return the name under which a link's permits are kept.
 
     A link that was opened again is another one: what the earlier one held has been
--- a/swiftpin/permits/recent_grants.py
+++ b/swiftpin/permits/recent_grants.py
@@ -35,7 +35,7 @@
         self._counts[priority, is_in_time] += 1
 
     @callback
-    def least_overtaking_rate(
+    def min_overtaking_rate(
         self, priority: int, now: float, *, is_in_time: bool
     ) -> float:
         """Return the grants a second to go before a waiting request, at the least.
@@ -43,7 +43,7 @@
         For a request that will miss its objective those are all that were in time, and
         late ones of higher priority; for others those of higher priority in time.
         """
-        self._drop_old(now)
+        self._prune(now)
         count = sum(
             number
             for (other, other_in_time), number in self._counts.items()
@@ -55,11 +55,11 @@
     @callback
     def is_empty(self, now: float) -> bool:
         """Return whether nothing was granted within the window."""
-        self._drop_old(now)
+        self._prune(now)
         return not self._grants
 
     @callback
-    def _drop_old(self, now: float) -> None:
+    def _prune(self, now: float) -> None:
         """Forget what left the window."""
         while self._grants and self._grants[0][0] < now - WINDOW:
             _, priority, is_in_time = self._grants.popleft()
--- a/swiftpin/permits/retry_spread.py
+++ b/swiftpin/permits/retry_spread.py
@@ -8,11 +8,11 @@
 
 from swiftpin.core import callback
 
-SHORTEST_RETRY: Final = 0.1
-LONGEST_RETRY: Final = 2.0
+MIN_RETRY_AFTER: Final = 0.1
+MAX_RETRY_AFTER: Final = 2.0
 """Bounds of the wait that a rejected caller is told, in seconds."""
 
-EARLIEST_SHARE: Final = 0.5
+EARLIEST_RETRY_SHARE: Final = 0.5
 """Part of the time in which a queue drains after which the first may come back."""
 
 _DIGESTS: Final = 2**64
@@ -27,5 +27,5 @@
     shows as requests refused several times while the target idles in between.
     """
     digest = xxh3_64_intdigest(f"{request_id[0]}\0{request_id[1]}")
-    earliest = max(drain * EARLIEST_SHARE, SHORTEST_RETRY)
-    return min(earliest + drain * digest / _DIGESTS, LONGEST_RETRY)
+    earliest = max(drain * EARLIEST_RETRY_SHARE, MIN_RETRY_AFTER)
+    return min(earliest + drain * digest / _DIGESTS, MAX_RETRY_AFTER)
--- a/swiftpin/permits/service_order.py
+++ b/swiftpin/permits/service_order.py
@@ -10,7 +10,7 @@
 from swiftpin.permits.permit_request import PermitRequest
 from swiftpin.permits.slot_pace import SlotPace
 
-SPARE_HOLDS: Final = 2.0
+MIN_SPARE_HOLDS: Final = 2.0
 """Time to spare, in mean holds of a slot, that others leave requests of higher
 priority: the times are estimates, and more urgent requests may still come."""
 
@@ -40,7 +40,7 @@
     chosen: list[PermitRequest] = []
     late: list[PermitRequest] = []
     for request in sorted(requests, key=lambda r: (r.priority, r.objective_at)):
-        position = _position(request, chosen)
+        position = _insert_position(request, chosen)
         if _fits(request, position, chosen, pace, now):
             chosen.insert(position, request)
         else:
@@ -50,7 +50,7 @@
 
 
 @callback
-def _position(request: PermitRequest, chosen: list[PermitRequest]) -> int:
+def _insert_position(request: PermitRequest, chosen: list[PermitRequest]) -> int:
     """Return before how many of the chosen requests another one comes last."""
     position = len(chosen)
     while position and chosen[position - 1].objective_at > request.objective_at:
@@ -73,7 +73,7 @@
     for delayed in chosen[position:]:
         ends_at += pace.interval
         is_more_urgent = delayed.priority < request.priority
-        spare = SPARE_HOLDS * pace.hold if is_more_urgent else 0.0
+        spare = MIN_SPARE_HOLDS * pace.hold if is_more_urgent else 0.0
         if ends_at + spare > delayed.objective_at:
             return False
     return True
--- a/swiftpin/permits/target_queue.py
+++ b/swiftpin/permits/target_queue.py
@@ -15,7 +15,7 @@
 MAX_WAITING: Final = 200
 """Requests that wait for one target, or one unkeyed service."""
 
-ANSWER_WAY: Final = 0.02
+ANSWER_TRANSFER_TIME: Final = 0.02
 """Seconds from the end of a request at its target until the caller has the answer:
 some round trips between zones of a few milliseconds each."""
 
@@ -57,8 +57,10 @@
         ranked = [(request, True) for request in order.in_time]
         ranked += [(request, False) for request in order.late]
         for request, is_in_time in ranked:
-            starts_at = now + self._wait(request, len(kept), is_in_time, pace, now)
-            is_served = starts_at + pace.hold + ANSWER_WAY <= request.ends_at
+            starts_at = now + self._estimate_wait(
+                request, len(kept), is_in_time, pace, now
+            )
+            is_served = starts_at + pace.hold + ANSWER_TRANSFER_TIME <= request.ends_at
             if is_served and len(kept) < MAX_WAITING:
                 kept.append(request)
             else:
@@ -71,7 +73,7 @@
         ]
 
     @callback
-    def _wait(
+    def _estimate_wait(
         self,
         request: PermitRequest,
         ahead: int,
@@ -81,7 +83,7 @@
     ) -> float:
         """Return the seconds until a request would begin."""
         wait = pace.free_in + ahead * pace.interval
-        rate = self._grants.least_overtaking_rate(
+        rate = self._grants.min_overtaking_rate(
             request.priority, now, is_in_time=is_in_time
         )
         overtaken = min(rate * pace.interval, MAX_OVERTAKING_SHARE)
--- a/swiftpin/permits/target_slots.py
+++ b/swiftpin/permits/target_slots.py
@@ -9,24 +9,24 @@
 
 from swiftpin.permits.cold_limit import ColdLimit
 
-FIRST_TIME: Final = 0.2
+INITIAL_REQUEST_TIME: Final = 0.2
 """Seconds assumed for a request before any was seen."""
 
-WEIGHT: Final = 0.12
+OBSERVATION_WEIGHT: Final = 0.12
 """Weight of one observed time: a target that turns slow shows after a few requests."""
 
-OVERDUE_SHARE: Final = 0.5
+OVERDUE_REMAINING_SHARE: Final = 0.5
 """Part of the mean hold that a request is taken to need which has run for longer than
 that: between none, if times were all equal, and a whole one, if they had no memory."""
 
-IDLE_ALLOWED: Final = 0.01
+IDLE_SLOT_TOLERANCE: Final = 0.01
 """Idle slots below which no permit is issued ahead, for rounding errors."""
 
 MAX_PIPELINED_PERMITS: Final = 2
 """Permits issued beyond a target's slots. Targets reset connections when their own
 queue is full."""
 
-FAILURE_PAUSE: Final = 0.6
+AVOIDANCE_PER_FAILURE: Final = 0.6
 """Seconds for which a target that failed is passed over where another will do."""
 
 
@@ -37,7 +37,7 @@
     limit: int
     zone: str = ""
     granted_at_by_request: dict[tuple[str, int], float] = field(default_factory=dict)
-    mean_time: float = FIRST_TIME
+    mean_time: float = INITIAL_REQUEST_TIME
     mean_hold: float | None = None
     """Seconds for which a permit is out, the messages that give and return it included;
     None until one was seen."""
@@ -56,7 +56,7 @@
         """Return whether a request would run at once."""
         return self.running < self.limit
 
-    def permits(self, round_trip: float) -> int:
+    def max_permits(self, round_trip: float) -> int:
         """Return how many requests a target may have while no other has a free slot.
 
         `round_trip` is for how many seconds a permit is out beyond the target's work. A
@@ -65,15 +65,15 @@
         """
         idle_slots = self.limit * round_trip / self.mean_time
         return self.limit + min(
-            math.ceil(idle_slots - IDLE_ALLOWED), MAX_PIPELINED_PERMITS
+            math.ceil(idle_slots - IDLE_SLOT_TOLERANCE), MAX_PIPELINED_PERMITS
         )
 
-    def note_time(self, seconds: float) -> None:
+    def record_time(self, seconds: float) -> None:
         """Take an observed time."""
-        self.mean_time += WEIGHT * (seconds - self.mean_time)
+        self.mean_time += OBSERVATION_WEIGHT * (seconds - self.mean_time)
         self.recent_failures.clear()
 
-    def note_hold(self, seconds: float) -> None:
+    def record_hold(self, seconds: float) -> None:
         """Take the time for which a permit was out.
 
         The first one counts whole: with an assumed time in the mean, a target that
@@ -81,18 +81,18 @@
         are rejected.
         """
         known = seconds if self.mean_hold is None else self.mean_hold
-        self.mean_hold = known + WEIGHT * (seconds - known)
+        self.mean_hold = known + OBSERVATION_WEIGHT * (seconds - known)
 
-    def note_failure(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Take a failure; the longer they go on, the longer the target is avoided."""
         self.recent_failures.append(now)
-        self.avoided_until = now + FAILURE_PAUSE * len(self.recent_failures)
+        self.avoided_until = now + AVOIDANCE_PER_FAILURE * len(self.recent_failures)
 
     def free_in(self, permits: int, hold: float, now: float) -> float:
         """Return the seconds until fewer permits are out, each of them for `hold`."""
         if self.running < permits:
             return 0.0
-        least = hold * OVERDUE_SHARE
+        least = hold * OVERDUE_REMAINING_SHARE
         waits = (
             max(granted_at + hold - now, least)
             for granted_at in self.granted_at_by_request.values()
--- a/swiftpin/permits/turnaround.py
+++ b/swiftpin/permits/turnaround.py
@@ -6,7 +6,7 @@
 
 from swiftpin.core import callback
 
-WEIGHT: Final = 0.03
+MIN_OBSERVATION_WEIGHT: Final = 0.03
 """Weight of one permit's time."""
 
 DEVIATIONS: Final = 4.0
@@ -32,10 +32,10 @@
         return self._mean + DEVIATIONS * self._deviation
 
     @callback
-    def note(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         """Take one permit's time; the first ones count alike."""
         self._count += 1
-        weight = max(1 / self._count, WEIGHT)
+        weight = max(1 / self._count, MIN_OBSERVATION_WEIGHT)
         self._deviation += weight * (abs(seconds - self._mean) - self._deviation)
         self._mean += weight * (seconds - self._mean)
         if self._count == 1:
--- a/tests/permits/test_issuer_choice.py
+++ b/tests/permits/test_issuer_choice.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from swiftpin.permits.issuer_choice import (
-    LEAST_ISSUERS,
-    TARGETS_AN_ISSUER,
+    MIN_ISSUERS,
+    TARGETS_PER_ISSUER,
     choose_issuers,
 )
 
@@ -24,7 +24,7 @@
     were dealt out by name alone.
     """
     strengths = {f"i{number}": 0.2 if number % 3 else 1.0 for number in range(30)}
-    targets = 5 * TARGETS_AN_ISSUER
+    targets = 5 * TARGETS_PER_ISSUER
     chosen = choose_issuers(strengths, current=(), assigner="i1", target_count=targets)
     assert len(chosen) == 5
     assert all(strengths[name] == 1.0 for name in chosen)
@@ -33,7 +33,7 @@
 def test_assigner_is_spared_where_others_are_enough() -> None:
     """It renews the grants of all targets."""
     strengths = {f"i{number}": 1.0 for number in range(9)}
-    targets = (LEAST_ISSUERS + 2) * TARGETS_AN_ISSUER
+    targets = (MIN_ISSUERS + 2) * TARGETS_PER_ISSUER
     chosen = choose_issuers(strengths, current=(), assigner="i0", target_count=targets)
     assert "i0" not in chosen
     few = choose_issuers({"i0": 1.0}, current=(), assigner="i0", target_count=targets)
--- a/tests/permits/test_permit_issuer.py
+++ b/tests/permits/test_permit_issuer.py
@@ -59,7 +59,7 @@
     issuer.handle_ask(other, make_ask(1), 0.0)
     assert crashed.answers[0].granted
     assert not other.answers
-    issuer.forget_link(crashed, 0.1)
+    issuer.release_link(crashed, 0.1)
     assert other.answers[0].granted
 
 
@@ -72,7 +72,7 @@
     """
     before, after = RecordingLink("i1/a"), RecordingLink("i1/a")
     issuer.handle_ask(before, make_ask(1), 0.0)
-    issuer.forget_link(before, 0.1)
+    issuer.release_link(before, 0.1)
     issuer.handle_ask(after, make_ask(1), 0.1)
     issuer.handle_end(before, pb.PermitEnd(id=1, service="desk"), 0.2)
     issuer.handle_ask(after, make_ask(2), 0.2)
--- a/tests/permits/test_permit_queue.py
+++ b/tests/permits/test_permit_queue.py
@@ -40,7 +40,7 @@
     """
     asker.ask("a", asker="lost")
     waiting = asker.ask("a")
-    asker.queue.end_all_of("lost", 0.2)
+    asker.queue.release_all("lost", 0.2)
     assert asker.decisions_by_number[waiting].target == "a"
 
 
--- a/tests/permits/test_turnaround.py
+++ b/tests/permits/test_turnaround.py
@@ -11,7 +11,7 @@
     """What is always the same is known with its second time."""
     turnaround = Turnaround()
     for _ in range(3):
-        turnaround.note(0.004)
+        turnaround.record(0.004)
     assert turnaround.round_trip_bound == pytest.approx(0.004)
 
 
@@ -19,7 +19,7 @@
     """The mean is 20 ms, yet one slot in ten would idle for 130 ms."""
     turnaround = Turnaround()
     for number in range(200):
-        turnaround.note(0.13 if number % 10 == 0 else 0.008)
+        turnaround.record(0.13 if number % 10 == 0 else 0.008)
     assert turnaround.round_trip_bound > 0.08
 
 
