--- a/swiftpin/permits/__init__.py
+++ b/swiftpin/permits/__init__.py
@@ -1,1 +1,1 @@
-"""Sharing of the targets' slots between all instances."""
+"""Permits that share the targets' slots among all instances."""
--- a/swiftpin/permits/cold_limit.py
+++ b/swiftpin/permits/cold_limit.py
@@ -1,4 +1,4 @@
-"""Limit of the permits for targets that are cold."""
+"""Rate limit of the permits for cold targets."""
 
 from __future__ import annotations
 
@@ -9,43 +9,43 @@
 from swiftpin.core import callback
 
 EARLY_GRANT_TOLERANCE: Final = 0.05
-"""Seconds by which a permit may be given before its turn: queues are looked at that
-often."""
+"""Seconds by which a permit may be granted early, since queues are checked at this
+interval only."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ColdTarget:
-    """What an issuer knows of a target that is cold."""
+    """State of a cold target and its permit rate at one issuer."""
 
     remaining: float
-    """Seconds for which it is still cold."""
+    """Seconds until the target is warm."""
 
     rate: float
-    """Permits a second that the issuer may give; 0 leaves them to other instances."""
+    """Permits per second that the issuer may grant; 0 leaves them to other issuers."""
 
 
 class ColdLimit:
-    """Spaces the permits that one instance issues for a target while it is cold.
+    """Limits the rate at which one instance grants permits for a cold target.
 
-    A cold target that gets many more requests than it bears crashes.
+    A cold target crashes when it receives many more requests than it can handle.
     """
 
-    __slots__ = ("_next_at", "_rate", "_warm_at")
+    __slots__ = ("_next_permit_at", "_rate", "_warm_at")
 
     def __init__(self) -> None:
         self._warm_at = -math.inf
         self._rate = math.inf
-        self._next_at = -math.inf
+        self._next_permit_at = -math.inf
 
     @callback
     def set(self, target: ColdTarget | None, now: float) -> None:
-        """Take what is known of the target, None when it is warm."""
+        """Update the state of the target; None means that it is warm."""
         if target is None:
             self._warm_at = -math.inf
             return
         if not self.is_cold(now):
-            # Another instance may have issued permits until now.
-            self._next_at = now + _interval(target.rate)
+            # Another instance may have granted permits until now.
+            self._next_permit_at = now + _interval(target.rate)
         self._warm_at = now + target.remaining
         self._rate = target.rate
 
@@ -56,26 +56,30 @@
 
     @callback
     def rate(self, now: float) -> float:
-        """Return the permits a second, infinite when the target is warm."""
+        """Return the permits per second, infinite when the target is warm."""
         return self._rate if self.is_cold(now) and self._rate else math.inf
 
     @callback
     def time_until_permit(self, now: float) -> float:
-        """Return the seconds until a permit may be given."""
+        """Return the seconds until the next permit may be granted."""
         if not self.is_cold(now):
             return 0.0
-        left = self._warm_at - now
-        return min(max(self._next_at - now, 0.0), left) if self._rate else left
+        remaining = self._warm_at - now
+        return (
+            min(max(self._next_permit_at - now, 0.0), remaining)
+            if self._rate
+            else remaining
+        )
 
     @callback
     def record(self, now: float) -> None:
-        """Note that a permit was given."""
+        """Record that a permit was granted."""
         if self.is_cold(now) and self._rate:
-            earliest = max(self._next_at, now - EARLY_GRANT_TOLERANCE)
-            self._next_at = earliest + _interval(self._rate)
+            earliest = max(self._next_permit_at, now - EARLY_GRANT_TOLERANCE)
+            self._next_permit_at = earliest + _interval(self._rate)
 
 
 @callback
 def _interval(rate: float) -> float:
-    """Return the seconds between two permits."""
+    """Return the seconds between two permits, 0 for a rate of 0."""
     return 1 / rate if rate else 0.0
--- a/swiftpin/permits/cold_targets.py
+++ b/swiftpin/permits/cold_targets.py
@@ -1,4 +1,4 @@
-"""Targets of one service that are cold."""
+"""Cold targets of one service."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 from swiftpin.permits.permit_issuers import PermitIssuers
 
 COLD_BURST: Final = 1.0
-"""Permits beyond the rate that one issuer may give within a second."""
+"""Permits beyond the rate that one issuer may grant within a second."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ColdTargets:
-    """Targets of a service that are cold, and what they bear."""
+    """Cold targets of a service and the request rate that they can handle."""
 
     remaining_by_id: Mapping[str, float] = field(default_factory=dict)
-    """Seconds for which each is still cold."""
+    """Seconds until each target is warm."""
 
     rate: float = math.inf
-    """Requests a second that one bears."""
+    """Requests per second that one cold target can handle."""
 
     max_per_second: float = math.inf
-    """Requests that one may get within a second from all instances together."""
+    """Requests per second that one cold target may receive from all instances."""
 
     is_keyed: bool = False
 
@@ -34,29 +34,31 @@
     def for_issuer(
         self, service: str, incarnation: str, issuers: PermitIssuers
     ) -> dict[str, ColdTarget]:
-        """Return the cold targets by id as one instance may issue permits for them.
+        """Return the cold targets by id, with the rate that one issuer may grant.
 
-        Instances that do not see each other issue permits side by side, each of them
-        at the full rate. So only the first few in rank do.
+        Instances that can't reach each other grant permits independently, each at the
+        full rate. Therefore only the highest-ranked issuers grant any.
         """
-        most = self._most_issuers()
+        max_issuers = self._max_issuers()
         return {
             target: ColdTarget(
-                remaining=left,
+                remaining=remaining,
                 rate=(
                     self.rate
                     if incarnation
-                    in issuers.ranked(target if self.is_keyed else service)[:most]
+                    in issuers.ranked(target if self.is_keyed else service)[
+                        :max_issuers
+                    ]
                     else 0.0
                 ),
             )
-            for target, left in self.remaining_by_id.items()
+            for target, remaining in self.remaining_by_id.items()
             if not math.isinf(self.rate)
         }
 
     @callback
-    def _most_issuers(self) -> int:
-        """Return how many instances may issue permits for one target side by side."""
+    def _max_issuers(self) -> int:
+        """Return how many instances may grant permits for one target independently."""
         if math.isinf(self.max_per_second):
             return 1
         return max(int(self.max_per_second / (self.rate + COLD_BURST)), 1)
--- a/swiftpin/permits/issuer_choice.py
+++ b/swiftpin/permits/issuer_choice.py
@@ -1,4 +1,4 @@
-"""Choice of the instances that hand out permits."""
+"""Selection of the permit issuers."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from swiftpin.core import callback
 
 TARGETS_PER_ISSUER: Final = 16
-"""Targets whose permits one instance hands out. Each permit takes it three messages."""
+"""Targets per permit issuer. Each permit costs its issuer three messages."""
 
 MIN_ISSUERS: Final = 3
-"""Issuers at least, so that the loss of one leaves most targets' permits untouched."""
+"""Minimum number of issuers: losing one affects the permits of few targets."""
 
 MIN_CPU_CAPACITY_SHARE: Final = 0.6
-"""Part of the strongest instance's strength that counts as strong."""
+"""Share of the largest instance's CPU capacity that an issuer should have."""
 
 
 @callback
 def rank_by_cpu_capacity(cpu_capacity_by_incarnation: Mapping[str, float]) -> list[str]:
-    """Return the instances, strongest first."""
+    """Return the instances by descending CPU capacity."""
     return sorted(
         cpu_capacity_by_incarnation,
         key=lambda name: (-cpu_capacity_by_incarnation[name], name),
@@ -35,20 +35,23 @@
     assigner: str,
     target_count: int,
 ) -> list[str]:
-    """Return the instances that hand out permits: present ones first, then strong.
+    """Return the permit issuers: current ones first, then by CPU capacity.
 
-    The instance that assigns keys has work enough where there are many targets.
+    The assigner is left out where many issuers are needed and enough others are strong,
+    because it also renews the grants of all targets.
     """
     ranked = rank_by_cpu_capacity(cpu_capacity_by_incarnation)
     if not ranked:
         return []
     count = max(MIN_ISSUERS, math.ceil(target_count / TARGETS_PER_ISSUER))
-    enough = cpu_capacity_by_incarnation[ranked[0]] * MIN_CPU_CAPACITY_SHARE
-    strong = [name for name in ranked if cpu_capacity_by_incarnation[name] >= enough]
+    min_cpu_capacity = cpu_capacity_by_incarnation[ranked[0]] * MIN_CPU_CAPACITY_SHARE
+    strong = [
+        name for name in ranked if cpu_capacity_by_incarnation[name] >= min_cpu_capacity
+    ]
     if len(strong) > count > MIN_ISSUERS and assigner in strong:
         strong.remove(assigner)
     if len(strong) >= MIN_ISSUERS:
-        # Fewer strong issuers bear more than many weak ones.
+        # A few strong issuers can handle more than many weak ones.
         ranked = strong
     kept = [name for name in ranked if name in current]
     added = [name for name in ranked if name not in current]
--- a/swiftpin/permits/pending_requests.py
+++ b/swiftpin/permits/pending_requests.py
@@ -1,4 +1,4 @@
-"""Requests for permits that this instance waits for."""
+"""Permit requests of this instance that await a decision."""
 
 from __future__ import annotations
 
@@ -13,69 +13,69 @@
 
 
 class AbortReason(Enum):
-    """Why a request for a permit ended without a decision."""
+    """Why a permit request was aborted without a decision."""
 
     ISSUER_LOST = auto()
-    """Who was asked is not heard any more; another one decides."""
+    """The issuer is unreachable; another one decides."""
 
     OUTDATED = auto()
-    """The key has another owner by now, or none."""
+    """The target no longer owns the key."""
 
 
 @dataclass(kw_only=True, slots=True)
 class PendingRequest:
-    """A request for a permit that is not answered yet."""
+    """A permit request that awaits a decision."""
 
     query: PermitQuery
     future: asyncio.Future[PermitDecision | AbortReason]
     issuer: PeerLink | None
-    """Link to the instance that was asked; None for this one."""
+    """Link to the issuing instance; None if it is this instance."""
 
     @callback
     def resolve(self, result: PermitDecision | AbortReason) -> None:
-        """End the wait, unless it has ended."""
+        """Resolve the future, unless it is done."""
         if not self.future.done():
             self.future.set_result(result)
 
 
 class PendingRequests:
-    """Waits by number, and what ends them besides an answer."""
+    """Tracks pending permit requests and aborts those that can't be decided."""
 
     def __init__(self) -> None:
         self._pending_by_number: dict[int, PendingRequest] = {}
 
     @callback
     def add(self, number: int, pending: PendingRequest) -> None:
-        """Take a request that was asked."""
+        """Add a request under its number."""
         self._pending_by_number[number] = pending
 
     @callback
     def remove(self, number: int) -> None:
-        """Forget a request that waits no longer."""
+        """Remove a request that is no longer pending."""
         self._pending_by_number.pop(number, None)
 
     @callback
     def resolve(
         self, number: int, issuer: PeerLink | None, decision: PermitDecision
     ) -> None:
-        """Take a decision, unless somebody else was asked meanwhile."""
+        """Apply a decision, unless the request went to another issuer meanwhile."""
         pending = self._pending_by_number.get(number)
         if pending is not None and pending.issuer is issuer:
             pending.resolve(decision)
 
     @callback
     def abort_for_link(self, link: PeerLink) -> None:
-        """End all waits for an instance whose link broke."""
+        """Abort all requests to an issuer whose link was lost."""
         for pending in self._pending_by_number.values():
             if pending.issuer is link:
                 pending.resolve(AbortReason.ISSUER_LOST)
 
     @callback
     def abort_unresponsive(self, now: float) -> None:
-        """End the waits for instances that fell silent.
+        """Abort the requests to issuers that do not respond.
 
-        One that was frozen or cut off answers nothing; waiting for the link's end would
-        take longer than the caller's objective.
+        A frozen or disconnected issuer never answers, and its link is only closed after
+        the caller's objective has passed.
         """
         for pending in self._pending_by_number.values():
             issuer = pending.issuer
@@ -84,11 +84,11 @@
 
     @callback
     def abort_outdated(self, service: str) -> None:
-        """End the waits for slots of targets that own the asked key no more.
+        """Abort the requests for targets that no longer own the requested key.
 
-        A hot key is moved away from the very target at which most of its requests wait.
-        Left there they would get slots one by one and be refused, each refusal counted
-        as a second send, and the new owner would idle meanwhile.
+        When a hot key moves, most of its requests are queued for the former owner. They
+        would get slots there one by one and be refused, each refusal counting as a
+        send, while the new owner idles.
         """
         for pending in self._pending_by_number.values():
             query = pending.query
--- a/swiftpin/permits/permit.py
+++ b/swiftpin/permits/permit.py
@@ -1,4 +1,4 @@
-"""A permit that was given."""
+"""A granted permit."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Permit:
-    """A permit that was given; it is handed back with `PermitBroker.end`."""
+    """A granted permit, to be returned with `PermitBroker.release`."""
 
     number: int
     service: str
     target: str
     issuer: PeerLink | None
-    """Link to the instance that gave it; None when it was this one."""
+    """Link to the issuing instance; None if it is this instance."""
--- a/swiftpin/permits/permit_broker.py
+++ b/swiftpin/permits/permit_broker.py
@@ -1,4 +1,4 @@
-"""Permits as the request path of an instance asks for them."""
+"""Access of the request path to permits."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 from swiftpin.permits.permit_request import PermitRequest
 
 EXPIRE_INTERVAL: Final = 0.05
-"""Seconds between two looks for requests that won't be served in time."""
+"""Seconds between two checks for requests that can't be served in time."""
 
 
 class PermitBroker:
-    """Asks the right instance for permits, and hands out those of this one."""
+    """Requests permits from the responsible issuer, which may be this instance."""
 
     def __init__(
         self,
@@ -51,8 +51,8 @@
     ) -> tuple[PermitDecision, Permit | None] | None:
         """Return the decision and, when granted, the permit.
 
-        Returns None when the key has another owner by now, or none. An instance whose
-        link breaks before it answers is replaced by the next one.
+        Return None if the target no longer owns the key. If the link to the issuer is
+        lost before it answers, the next issuer is asked.
         """
         loop = asyncio.get_running_loop()
         service = query.service
@@ -76,7 +76,7 @@
                 self._pending.remove(number)
             match decision:
                 case AbortReason():
-                    # A permit may be on its way.
+                    # The issuer may have granted a permit in the meantime.
                     self._release(service, number, issuer, 0.0, failed=False)
                     if decision is AbortReason.OUTDATED:
                         return None
@@ -94,9 +94,10 @@
     def release(
         self, permit: Permit, seconds: float, *, failed: bool, abandoned: bool = False
     ) -> None:
-        """Hand a permit back; `seconds` is 0 when it says nothing of the target.
+        """Return a permit to its issuer.
 
-        A request that was given up (`abandoned`) would have taken at least as long.
+        `seconds` is the time that the target took, 0 if unknown. An `abandoned` request
+        would have taken at least that long.
         """
         self._release(
             permit.service,
@@ -115,9 +116,9 @@
         leaving: list[Target],
         cold: ColdTargets = ALL_WARM,
     ) -> None:
-        """Take the targets of a service and their slots.
+        """Update the targets of a service and their slots.
 
-        Those that are `leaving` serve no more than the keys that they still own.
+        Targets that are `leaving` only serve requests for keys that they still own.
         """
         self._local_issuer.set_targets(
             service,
@@ -129,13 +130,13 @@
 
     @callback
     def add_link(self, link: PeerLink) -> None:
-        """Take a link whose other side said who it is."""
+        """Add a link whose peer is identified."""
         if link.is_outgoing:
             self._links_by_incarnation[link.incarnation] = link
 
     @callback
     def remove_link(self, link: PeerLink) -> None:
-        """Give up on a link that broke, and what its other side held here."""
+        """Remove a lost link, abort requests sent over it and release its permits."""
         self._pending.abort_for_link(link)
         if self._links_by_incarnation.get(link.incarnation) is link:
             del self._links_by_incarnation[link.incarnation]
@@ -144,17 +145,17 @@
 
     @callback
     def handle_owner_change(self, service: str) -> None:
-        """Act on a change of the owners of a service's keys."""
+        """Abort requests that a change of key owners of a service has made outdated."""
         self._pending.abort_outdated(service)
 
     @callback
     def handle_ask(self, link: PeerLink, ask: Item) -> None:
-        """Decide for another instance."""
+        """Handle a permit request of another instance."""
         self._local_issuer.handle_ask(link, ask, asyncio.get_running_loop().time())
 
     @callback
     def handle_answer(self, link: PeerLink, answer: Item) -> None:
-        """Take another instance's decision."""
+        """Handle another instance's decision."""
         decision = PermitDecision(
             target=answer.target if answer.granted else "",
             retry_after=answer.retry_after,
@@ -163,11 +164,11 @@
 
     @callback
     def handle_end(self, link: PeerLink, end: Item) -> None:
-        """Take another instance's permit back."""
+        """Handle the release of another instance's permit."""
         self._local_issuer.handle_end(link, end, asyncio.get_running_loop().time())
 
     async def async_run(self) -> None:
-        """Judge again and again who still waits with a chance, until cancelled."""
+        """Reject requests that can't be served in time, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(EXPIRE_INTERVAL)
@@ -177,7 +178,7 @@
 
     @callback
     def _request_locally(self, query: PermitQuery, number: int, now: float) -> None:
-        """Have this instance decide."""
+        """Submit a request to this instance's own issuer."""
 
         def on_decision(decision: PermitDecision) -> None:
             self._pending.resolve(number, None, decision)
@@ -201,7 +202,7 @@
     def _request_from_peer(
         self, issuer: PeerLink, query: PermitQuery, number: int, now: float
     ) -> None:
-        """Have another instance decide; clocks differ, so it is told what is left."""
+        """Send a request to a peer, with relative times because clocks differ."""
         issuer.send(
             pb.Item(
                 ask=pb.PermitAsk(
@@ -228,7 +229,7 @@
         failed: bool,
         abandoned: bool = False,
     ) -> None:
-        """Hand back a permit, or a question that nobody waits for any more."""
+        """Release a permit, or withdraw a request that is no longer pending."""
         if issuer is None:
             self._local_issuer.release(
                 service,
@@ -253,10 +254,11 @@
 
     @callback
     def _find_issuer(self, subject: str, now: float) -> PeerLink | None:
-        """Return the link to who hands out permits, None for this instance.
+        """Return the link to the responsible issuer, None if it is this instance.
 
-        Where none can be reached this instance decides by itself; together with
-        others it may then send more than a target has slots, which the target queues.
+        If no issuer is reachable, this instance issues the permit itself. If several
+        instances do so, a target may receive more requests than it has slots; it queues
+        the excess.
         """
         for incarnation in self.issuers.ranked(subject):
             if incarnation == self._incarnation:
--- a/swiftpin/permits/permit_decision.py
+++ b/swiftpin/permits/permit_decision.py
@@ -1,4 +1,4 @@
-"""Answer to a request for a slot."""
+"""Decision on a permit request."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PermitDecision:
-    """A permit for one request to one target, or a refusal."""
+    """A permit to send one request to one target, or a rejection."""
 
     target: str
-    """Target to send to; empty when refused."""
+    """Target to send to; empty when rejected."""
 
     retry_after: float = 0.0
-    """Seconds after which a refused request has a chance."""
+    """Seconds after which a rejected request should be tried again."""
 
     @property
     def is_granted(self) -> bool:
--- a/swiftpin/permits/permit_issuer.py
+++ b/swiftpin/permits/permit_issuer.py
@@ -1,4 +1,4 @@
-"""Handing out of permits by this instance, to itself and to others."""
+"""Issuing of permits to this and other instances."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class PermitIssuer:
-    """Keeps a queue for each service, and answers those who ask over links."""
+    """Keeps a permit queue per service and answers the requests of peers."""
 
     def __init__(
         self, on_turnaround: Callable[[str, float], None] | None = None
@@ -34,7 +34,7 @@
         *,
         cold_by_id: Mapping[str, ColdTarget] | None = None,
     ) -> None:
-        """Take the targets of a service and their slots."""
+        """Update the targets of a service and their slots."""
         self._get_or_create_queue(service).set_targets(
             targets, now, leaving=leaving, cold_by_id=cold_by_id
         )
@@ -55,14 +55,14 @@
         abandoned: bool,
         now: float,
     ) -> None:
-        """Take back a permit, or a request that waits for one."""
+        """Release a permit, or withdraw a queued request."""
         self._get_or_create_queue(service).release(
             request_id, seconds, failed=failed, abandoned=abandoned, now=now
         )
 
     @callback
     def handle_ask(self, link: PeerLink, ask: Item, now: float) -> None:
-        """Decide for another instance."""
+        """Handle a permit request of another instance."""
         number = ask.id
 
         def on_decision(decision: PermitDecision) -> None:
@@ -94,7 +94,7 @@
 
     @callback
     def handle_end(self, link: PeerLink, end: Item, now: float) -> None:
-        """Take another instance's permit back."""
+        """Handle the release of another instance's permit."""
         self.release(
             end.service,
             (_requester_id(link), end.id),
@@ -106,19 +106,19 @@
 
     @callback
     def release_link(self, link: PeerLink, now: float) -> None:
-        """Take back what was given over a link that broke."""
+        """Release all permits and withdraw all requests of a lost link."""
         for queue in self._queues_by_service.values():
             queue.release_all(_requester_id(link), now)
 
     @callback
     def expire(self, now: float) -> None:
-        """Reject those who won't be served in time any more."""
+        """Reject queued requests that can no longer be served in time."""
         for queue in self._queues_by_service.values():
             queue.expire(now)
 
     @callback
     def _get_or_create_queue(self, service: str) -> PermitQueue:
-        """Return the queue of a service."""
+        """Return the permit queue of a service, creating it if needed."""
         queue = self._queues_by_service.get(service)
         if queue is None:
             queue = self._queues_by_service[service] = PermitQueue(
@@ -129,9 +129,9 @@
 
 @callback
 def _requester_id(link: PeerLink) -> str:
-    """Return the name under which a link's permits are kept.
+    """Return the identifier under which the requests of a link are kept.
 
-    A link that was opened again is another one: what the earlier one held has been
-    taken back, and a late end must not take back a permit of the new one.
+    It differs for each connection: the permits of a lost link have been released, and a
+    delayed release from it must not release a permit of the new link.
     """
     return f"{link.incarnation}/{id(link)}"
--- a/swiftpin/permits/permit_issuers.py
+++ b/swiftpin/permits/permit_issuers.py
@@ -1,4 +1,4 @@
-"""Which instance hands out the slots of which target."""
+"""Mapping of targets to the instances that issue their permits."""
 
 from __future__ import annotations
 
@@ -11,20 +11,21 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PermitIssuers:
-    """Instances that hand out permits; newer lists have a higher (`term`, `number`)."""
+    """Permit issuers; a newer list has a higher (`term`, `number`)."""
 
     term: int
     number: int
     peers_by_incarnation: dict[str, str]
     members: int
-    """Upper bound of the instances linked to the one that made the list, itself
+    """Upper bound on the instances linked to the one that published the list, itself
     included."""
 
     @callback
     def ranked(self, subject: str) -> list[str]:
-        """Return the instances by how well they suit a target or service.
+        """Return the issuers in rendezvous-hash order for a target or service.
 
-        The same at every instance, and a change of the list moves few subjects.
+        All instances compute the same order, and a change of the list reassigns few
+        targets and services.
         """
         return sorted(
             self.peers_by_incarnation,
--- a/swiftpin/permits/permit_query.py
+++ b/swiftpin/permits/permit_query.py
@@ -1,4 +1,4 @@
-"""What the request path of an instance asks for."""
+"""Permit query of the request path."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 
 @callback
 def _always() -> bool:
-    """Return True."""
+    """Return that the target still owns the key."""
     return True
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PermitQuery:
-    """Need of one request for a slot; times on this instance's event loop's clock."""
+    """Permit needed for one request; times are on this instance's event loop clock."""
 
     service: str
     target: str
-    """Owner of the key; empty where any target of the service will do."""
+    """Owner of the key; empty if any target of the service is eligible."""
 
     avoided: str
-    """Target to pass over where any will do, since it failed the request before."""
+    """Target that failed the request before; used only if no other one is available."""
 
     priority: int
     objective_at: float
-    """When the answer loses worth."""
+    """Time by which the caller should have the answer."""
 
     ends_at: float
-    """When the answer has no use any more."""
+    """Time after which the answer is useless."""
 
     is_current: Callable[[], bool] = _always
-    """Whether the target still owns the key."""
+    """Returns whether the target still owns the key."""
--- a/swiftpin/permits/permit_queue.py
+++ b/swiftpin/permits/permit_queue.py
@@ -1,4 +1,4 @@
-"""Queue for the slots of one service's targets, at the instance that hands them out."""
+"""Queue for the slots of one service's targets, kept by the permit issuer."""
 
 from __future__ import annotations
 
@@ -17,19 +17,20 @@
 from swiftpin.permits.turnaround import Turnaround
 
 OTHER_ZONE_FACTOR: Final = 2.0
-"""By how much faster a target in another zone must be to be preferred: bytes between
-zones are paid for, and any free target answers within the objective."""
+"""Factor by which a target in another zone must be faster to be preferred: traffic
+between zones costs money, and any free target answers within the objective."""
 
 NO_TARGETS_PACE: Final = SlotPace(free_in=2.0, interval=2.0, hold=INITIAL_REQUEST_TIME)
-"""Pace of a service that has no targets: it has some again within about two seconds of
-a loss."""
+"""Assumed pace for a service without targets: lost targets are replaced within about
+two seconds."""
 
 
 class PermitQueue:
-    """Hands a target's slots out one by one, the most urgent request first.
+    """Grants permits for the slots of targets, most urgent requests first.
 
-    Without it every instance would send by its own guess: targets that are full reset
-    connections, and a request that must not be repeated is lost with its connection.
+    Without it, each instance would guess which targets have free slots. Full targets
+    reset connections, and a request that must not be repeated is lost with its
+    connection.
     """
 
     def __init__(
@@ -45,7 +46,7 @@
         self._queues_by_target: dict[str, TargetQueue] = {}
         self._target_by_request: dict[tuple[str, int], str] = {}
         self._service_average = TargetSlots(limit=1)
-        """How long permits of all its targets were out lately."""
+        """Used for the mean hold time over all targets of the service."""
 
         self._turnaround = Turnaround()
 
@@ -58,23 +59,23 @@
         leaving: Iterable[Target] = (),
         cold_by_id: Mapping[str, ColdTarget] | None = None,
     ) -> None:
-        """Take the targets to which requests without a key may go.
+        """Update the targets that are eligible for requests without a key.
 
-        Those that are `leaving` may still get requests for the keys that they own. A
-        target that was in either and is in none is gone: its waiters are rejected.
+        Targets that are `leaving` still get requests for the keys that they own. A
+        target that is no longer in either list is removed: its waiters are rejected.
         """
         cold_by_id = cold_by_id or {}
         targets = list(targets)
-        present = [*targets, *leaving]
-        gone = self._known_targets - {target.id for target in present}
+        known = [*targets, *leaving]
+        removed = self._known_targets - {target.id for target in known}
         self._eligible_targets = frozenset(target.id for target in targets)
-        self._known_targets = frozenset(target.id for target in present)
-        for target in present:
+        self._known_targets = frozenset(target.id for target in known)
+        for target in known:
             slots = self._get_or_create_slots(target.id)
             slots.limit = target.slots
             slots.zone = target.zone
             slots.cold.set(cold_by_id.get(target.id), now)
-        for target_id in gone:
+        for target_id in removed:
             self._reject_all(target_id)
             self._prune_slots(target_id)
         for target_id in list(self._queues_by_target):
@@ -100,10 +101,10 @@
         now: float,
         abandoned: bool = False,
     ) -> None:
-        """Take back a permit, or a request that waits for one.
+        """Release a permit, or withdraw a queued request.
 
-        `seconds` is how long the target took, 0 when that says nothing about it; a
-        request that was given up (`abandoned`) would have taken at least that long.
+        `seconds` is the time that the target took, 0 if unknown. An `abandoned` request
+        would have taken at least that long.
         """
         target = self._target_by_request.pop(request_id, None)
         if target is None:
@@ -131,22 +132,22 @@
         self._grant_waiting(target, now)
 
     @callback
-    def release_all(self, incarnation: str, now: float) -> None:
-        """Take back everything of an instance that is gone."""
+    def release_all(self, requester: str, now: float) -> None:
+        """Release all permits and withdraw all requests of one requester."""
         for queue in self._queues_by_target.values():
             queue.requests = [
-                request for request in queue.requests if request.id[0] != incarnation
+                request for request in queue.requests if request.id[0] != requester
             ]
         for request_id in [
-            key for key in self._target_by_request if key[0] == incarnation
+            key for key in self._target_by_request if key[0] == requester
         ]:
             self.release(request_id, 0.0, failed=False, now=now)
 
     @callback
     def expire(self, now: float) -> None:
-        """Reject what can't be served in time any more, and forget idle targets."""
+        """Reject requests that can't be served in time, and forget idle targets."""
         for target, queue in list(self._queues_by_target.items()):
-            # Permits for cold targets become due without the end of another one.
+            # Permits for cold targets become available without any other release.
             self._grant_from_queue(target, now)
             if not queue.requests and queue.is_idle(now):
                 del self._queues_by_target[target]
@@ -155,7 +156,7 @@
 
     @callback
     def _get_or_create_slots(self, target: str) -> TargetSlots:
-        """Return the use of a target's slots."""
+        """Return the slots of a target, creating the entry if needed."""
         slots = self._slots_by_target.get(target)
         if slots is None:
             slots = self._slots_by_target[target] = TargetSlots(limit=1)
@@ -163,10 +164,10 @@
 
     @callback
     def _prune_slots(self, target: str) -> None:
-        """Drop the slots of a target that is gone, once no permit of them is out.
+        """Forget a removed target's slots once none of its permits is outstanding.
 
-        Targets that start again are others each time: kept, the slots of all that ever
-        were would grow an instance's memory as long as it lives.
+        A target gets a new id with each start, so the instance's memory would grow
+        without limit if they were kept.
         """
         slots = self._slots_by_target.get(target)
         if (
@@ -178,7 +179,7 @@
 
     @callback
     def _queue_for(self, target: str) -> TargetQueue:
-        """Return those who wait for a target, or for any when it is empty."""
+        """Return the queue for a target, or for any target if the name is empty."""
         queue = self._queues_by_target.get(target)
         if queue is None:
             queue = self._queues_by_target[target] = TargetQueue()
@@ -186,19 +187,20 @@
 
     @callback
     def _choose_target(self, request: PermitRequest, now: float) -> str | None:
-        """Return the target that a request may be sent to at once."""
+        """Return the best target that a request may be sent to at once, if any."""
         names = (request.target,) if request.target else self._eligible_targets
-        uses_by_target = {name: self._get_or_create_slots(name) for name in names}
+        slots_by_target = {name: self._get_or_create_slots(name) for name in names}
         candidates = [
             name
-            for name, use in uses_by_target.items()
-            if use.is_free and not use.cold.time_until_permit(now)
+            for name, slots in slots_by_target.items()
+            if slots.is_free and not slots.cold.time_until_permit(now)
         ]
         if not candidates:
             candidates = [
                 name
-                for name, use in uses_by_target.items()
-                if use.running < self._max_permits(use) and not use.cold.is_cold(now)
+                for name, slots in slots_by_target.items()
+                if slots.running < self._max_permits(slots)
+                and not slots.cold.is_cold(now)
             ]
         if not candidates:
             return None
@@ -208,7 +210,7 @@
     def _rank(
         self, target: str, request: PermitRequest, now: float
     ) -> tuple[bool, bool, bool, float, str]:
-        """Return by what free targets are chosen: sound ones first, then fast ones."""
+        """Return the sort key of a target: healthy ones first, then fast ones."""
         slots = self._slots_by_target[target]
         load = (slots.running + 1) / slots.limit
         distance = 1.0 if slots.zone == request.zone else OTHER_ZONE_FACTOR
@@ -222,45 +224,51 @@
 
     @callback
     def _expected_hold(self, slots: TargetSlots) -> float:
-        """Return for how long a request has one of a target's slots, in seconds."""
+        """Return the expected seconds for which a permit of a target is outstanding."""
         return (
             slots.mean_hold or self._service_average.mean_hold or INITIAL_REQUEST_TIME
         )
 
     @callback
     def _slot_pace(self, target: str, now: float) -> SlotPace:
-        """Return how fast the slots of a target, or of all, become free."""
+        """Return the pace of the slots of a target, or of all eligible targets."""
         names = (target,) if target else self._eligible_targets
-        uses = [
-            (use, self._max_permits(use))
-            for use in map(self._get_or_create_slots, names)
+        slots_and_permits = [
+            (slots, self._max_permits(slots))
+            for slots in map(self._get_or_create_slots, names)
+        ]
+        rates = [
+            max_permits / self._expected_hold(slots)
+            for slots, max_permits in slots_and_permits
         ]
-        rates = [permits / self._expected_hold(use) for use, permits in uses]
         if not any(rates):
             return NO_TARGETS_PACE
-        limits = [use.cold.rate(now) for use, _ in uses]
+        limits = [slots.cold.rate(now) for slots, _ in slots_and_permits]
         return SlotPace(
             free_in=min(
-                self._time_until_permit(use, permits, now) for use, permits in uses
+                self._time_until_permit(slots, max_permits, now)
+                for slots, max_permits in slots_and_permits
             ),
             interval=1 / sum(map(min, rates, limits)),
-            hold=sum(permits for _, permits in uses) / sum(rates),
+            hold=sum(max_permits for _, max_permits in slots_and_permits) / sum(rates),
         )
 
     @callback
-    def _time_until_permit(self, slots: TargetSlots, permits: int, now: float) -> float:
-        """Return the seconds until a target's next permit may be given."""
-        free_in = slots.free_in(permits, self._expected_hold(slots), now)
+    def _time_until_permit(
+        self, slots: TargetSlots, max_permits: int, now: float
+    ) -> float:
+        """Return the seconds until a target's next permit may be granted."""
+        free_in = slots.free_in(max_permits, self._expected_hold(slots), now)
         return max(free_in, slots.cold.time_until_permit(now))
 
     @callback
     def _max_permits(self, slots: TargetSlots) -> int:
-        """Return how many permits may be out for a target while no slot is free."""
+        """Return how many permits of a target may be outstanding if no slot is free."""
         return slots.max_permits(self._turnaround.round_trip_bound)
 
     @callback
     def _grant(self, request: PermitRequest, target: str, now: float) -> None:
-        """Give a permit."""
+        """Grant a permit."""
         pace = self._slot_pace(request.target, now)
         self._queue_for(request.target).record_grant(request, pace, now)
         slots = self._get_or_create_slots(target)
@@ -271,7 +279,7 @@
 
     @callback
     def _review(self, target: str, now: float) -> None:
-        """Order those who wait for a target; reject those whose turn comes too late."""
+        """Order the requests for a target and reject those that can't be served."""
         queue = self._queues_by_target.get(target)
         if queue is None or not queue.requests:
             return
@@ -280,34 +288,34 @@
 
     @callback
     def _reject_all(self, target: str) -> None:
-        """Reject everyone who waits for a target that is gone."""
+        """Reject all requests that wait for a removed target."""
         queue = self._queues_by_target.pop(target, None)
         for request in queue.requests if queue is not None else ():
             _reject(request, MIN_RETRY_AFTER)
 
     @callback
     def _grant_waiting(self, target: str, now: float) -> None:
-        """Give a slot that became free to whoever waits for it."""
+        """Grant a target's free slots to requests for it, then to unkeyed ones."""
         self._grant_from_queue(target, now)
         if target in self._eligible_targets:
             self._grant_from_queue("", now)
 
     @callback
     def _grant_from_queue(self, target: str, now: float) -> None:
-        """Give the free slots of a target, or of any, to those who wait for them."""
+        """Grant free slots to the requests for a target, or for any target."""
         self._review(target, now)
         queue = self._queues_by_target.get(target)
         while queue is not None and queue.requests:
             request = queue.requests[0]
-            free = self._choose_target(request, now)
-            if free is None:
+            free_target = self._choose_target(request, now)
+            if free_target is None:
                 break
             queue.requests.pop(0)
-            self._grant(request, free, now)
+            self._grant(request, free_target, now)
 
     @callback
     def _withdraw(self, request_id: tuple[str, int]) -> None:
-        """Forget a request that waits no longer."""
+        """Remove a request that is no longer pending."""
         for queue in self._queues_by_target.values():
             for request in queue.requests:
                 if request.id == request_id:
@@ -317,5 +325,5 @@
 
 @callback
 def _reject(request: PermitRequest, retry_after: float) -> None:
-    """Tell an asker that there is no slot, and when there may be one."""
+    """Reject a request and say when to retry."""
     request.on_decision(PermitDecision(target="", retry_after=retry_after))
--- a/swiftpin/permits/permit_request.py
+++ b/swiftpin/permits/permit_request.py
@@ -1,4 +1,4 @@
-"""A request that wants a slot of a target."""
+"""A permit request as the issuer sees it."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PermitRequest:
-    """What is asked for; times on the event loop's clock."""
+    """A request for a target's slot; times are on the issuer's event loop clock."""
 
     id: tuple[str, int]
-    """Incarnation of the asking instance and its number for the request."""
+    """Identifier of the requesting instance or link, and its number for the request."""
 
     service: str
     target: str
-    """Owner of the key; empty where any target of the service will do."""
+    """Owner of the key; empty if any target of the service is eligible."""
 
     avoided: str
-    """Target to pass over where any will do, since it failed the request before."""
+    """Target that failed the request before; used only if no other one is available."""
 
     zone: str
-    """Availability zone of the asking instance."""
+    """Availability zone of the requesting instance."""
 
     priority: int
     objective_at: float
-    """When the answer loses worth."""
+    """Time by which the caller should have the answer."""
 
     ends_at: float
-    """When the answer has no use any more."""
+    """Time after which the answer is useless."""
 
     on_decision: Callable[[PermitDecision], None]
--- a/swiftpin/permits/recent_grants.py
+++ b/swiftpin/permits/recent_grants.py
@@ -1,4 +1,4 @@
-"""Rate of the slots that went to requests which others have to let pass."""
+"""Rate of recent grants to requests that overtake others."""
 
 from __future__ import annotations
 
@@ -12,16 +12,15 @@
 """Seconds over which grants are counted."""
 
 DEVIATIONS: Final = 3.0
-"""Standard deviations by which future arrivals are assumed to stay below the recent
-count. Without a margin, callers are rejected whom a pause in the arrivals would have
-served."""
+"""Standard deviations subtracted from the recent count to estimate future arrivals.
+Without this margin, callers are rejected that could be served when arrivals pause."""
 
 
 class RecentGrants:
-    """Counts the grants of the last window, by priority and chance.
+    """Counts the grants of the last window by priority and expected timeliness.
 
-    Requests that wait are left out, since those ahead in a queue are counted there, and
-    so are rejected ones, which overtake nobody.
+    Waiting requests are not counted here, as the queue counts those ahead itself, nor
+    are rejected ones, which overtake nobody.
     """
 
     def __init__(self) -> None:
@@ -38,29 +37,30 @@
     def min_overtaking_rate(
         self, priority: int, now: float, *, is_in_time: bool
     ) -> float:
-        """Return the grants a second to go before a waiting request, at the least.
+        """Return a lower bound for the grants per second that overtake a request.
 
-        For a request that will miss its objective those are all that were in time, and
-        late ones of higher priority; for others those of higher priority in time.
+        A request that will miss its objective is overtaken by all that are in time and
+        by late ones of higher priority; one that is in time only by those of higher
+        priority that are in time too.
         """
         self._prune(now)
         count = sum(
-            number
-            for (other, other_in_time), number in self._counts.items()
-            if (other_in_time and not is_in_time)
-            or (other < priority and other_in_time >= is_in_time)
+            grants
+            for (granted_priority, granted_in_time), grants in self._counts.items()
+            if (granted_in_time and not is_in_time)
+            or (granted_priority < priority and granted_in_time >= is_in_time)
         )
         return max(count - DEVIATIONS * math.sqrt(count), 0.0) / WINDOW
 
     @callback
     def is_empty(self, now: float) -> bool:
-        """Return whether nothing was granted within the window."""
+        """Return whether no grant was recorded within the window."""
         self._prune(now)
         return not self._grants
 
     @callback
     def _prune(self, now: float) -> None:
-        """Forget what left the window."""
+        """Remove grants that are older than the window."""
         while self._grants and self._grants[0][0] < now - WINDOW:
             _, priority, is_in_time = self._grants.popleft()
             self._counts[priority, is_in_time] -= 1
--- a/swiftpin/permits/rejection.py
+++ b/swiftpin/permits/rejection.py
@@ -1,4 +1,4 @@
-"""A request that won't be served."""
+"""Rejection of a permit request."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Rejection:
-    """A request that left the queue without a permit."""
+    """A request that was removed from the queue without a permit."""
 
     request: PermitRequest
     retry_after: float
-    """Seconds after which there may be room."""
+    """Seconds after which the caller should try again."""
--- a/swiftpin/permits/retry_spread.py
+++ b/swiftpin/permits/retry_spread.py
@@ -1,4 +1,4 @@
-"""When rejected callers are to come back."""
+"""Retry delays for rejected callers."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 MIN_RETRY_AFTER: Final = 0.1
 MAX_RETRY_AFTER: Final = 2.0
-"""Bounds of the wait that a rejected caller is told, in seconds."""
+"""Bounds of the retry delay sent to a rejected caller, in seconds."""
 
 EARLIEST_RETRY_SHARE: Final = 0.5
-"""Part of the time in which a queue drains after which the first may come back."""
+"""Share of the queue's drain time after which the first callers may retry."""
 
-_DIGESTS: Final = 2**64
+_DIGEST_RANGE: Final = 2**64
 
 
 @callback
-def spread_retry(request_id: tuple[str, int], drain: float) -> float:
-    """Return the seconds after which a caller may come back to a queue.
+def spread_retry(request_id: tuple[str, int], drain_time: float) -> float:
+    """Return the seconds after which a rejected caller should retry.
 
-    Spread evenly around the time in which the queue drains. Callers that were rejected
-    together and told the same would come back together and be rejected again, which
-    shows as requests refused several times while the target idles in between.
+    The delays are spread evenly around the queue's drain time. With equal delays,
+    callers that were rejected together would retry together and be rejected again,
+    while the target idles in between.
     """
     digest = xxh3_64_intdigest(f"{request_id[0]}\0{request_id[1]}")
-    earliest = max(drain * EARLIEST_RETRY_SHARE, MIN_RETRY_AFTER)
-    return min(earliest + drain * digest / _DIGESTS, MAX_RETRY_AFTER)
+    min_delay = max(drain_time * EARLIEST_RETRY_SHARE, MIN_RETRY_AFTER)
+    return min(min_delay + drain_time * digest / _DIGEST_RANGE, MAX_RETRY_AFTER)
--- a/swiftpin/permits/service_order.py
+++ b/swiftpin/permits/service_order.py
@@ -1,4 +1,4 @@
-"""Order in which requests that wait for the same slots get them."""
+"""Order in which waiting requests get the slots that they share."""
 
 from __future__ import annotations
 
@@ -11,69 +11,69 @@
 from swiftpin.permits.slot_pace import SlotPace
 
 MIN_SPARE_HOLDS: Final = 2.0
-"""Time to spare, in mean holds of a slot, that others leave requests of higher
-priority: the times are estimates, and more urgent requests may still come."""
+"""Minimum slack, in mean slot hold times, that a request must keep when one of lower
+priority delays it: the times are estimates, and more urgent requests may arrive."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ServiceOrder:
-    """Requests in the order in which they get slots: those in time, then the others."""
+    """Requests in the order in which they get slots: first in-time, then late ones."""
 
     in_time: tuple[PermitRequest, ...]
-    """Requests that will make their objective, nearest objective first."""
+    """Requests expected to meet their objective, earliest objective first."""
 
     late: tuple[PermitRequest, ...]
-    """The others, by priority, nearest end first."""
+    """The other requests, by priority, then by earliest end."""
 
 
 @callback
 def order_requests(
     requests: Iterable[PermitRequest], pace: SlotPace, now: float
 ) -> ServiceOrder:
-    """Choose the requests that are to make their objective, and order all of them.
+    """Select the requests that can meet their objective, and order all requests.
 
-    Slots are promised by priority: a request is chosen if it fits in without making one
-    of higher priority late. Those chosen are served by objective. Served by priority,
-    urgent requests with time to spare make others late, and late ones hold up requests
-    that would still be in time.
+    Slots are planned by priority: a request is selected if it fits without making one
+    of higher priority late. The selected ones are served by objective. If they were
+    served by priority, urgent requests with slack would make others late, and late
+    ones would delay requests that could still be in time.
     """
-    chosen: list[PermitRequest] = []
+    selected: list[PermitRequest] = []
     late: list[PermitRequest] = []
     for request in sorted(requests, key=lambda r: (r.priority, r.objective_at)):
-        position = _insert_position(request, chosen)
-        if _fits(request, position, chosen, pace, now):
-            chosen.insert(position, request)
+        index = _insert_position(request, selected)
+        if _fits(request, index, selected, pace, now):
+            selected.insert(index, request)
         else:
             late.append(request)
     late.sort(key=lambda request: (request.priority, request.ends_at))
-    return ServiceOrder(in_time=tuple(chosen), late=tuple(late))
+    return ServiceOrder(in_time=tuple(selected), late=tuple(late))
 
 
 @callback
-def _insert_position(request: PermitRequest, chosen: list[PermitRequest]) -> int:
-    """Return before how many of the chosen requests another one comes last."""
-    position = len(chosen)
-    while position and chosen[position - 1].objective_at > request.objective_at:
-        position -= 1
-    return position
+def _insert_position(request: PermitRequest, selected: list[PermitRequest]) -> int:
+    """Return the index that keeps the selected requests ordered by objective."""
+    index = len(selected)
+    while index and selected[index - 1].objective_at > request.objective_at:
+        index -= 1
+    return index
 
 
 @callback
 def _fits(
     request: PermitRequest,
-    position: int,
-    chosen: list[PermitRequest],
+    index: int,
+    selected: list[PermitRequest],
     pace: SlotPace,
     now: float,
 ) -> bool:
-    """Return whether a request and those that it would delay make their objectives."""
-    ends_at = now + pace.free_in + pace.hold + position * pace.interval
+    """Return whether a request and those that it delays can meet their objectives."""
+    ends_at = now + pace.free_in + pace.hold + index * pace.interval
     if ends_at > request.objective_at:
         return False
-    for delayed in chosen[position:]:
+    for delayed in selected[index:]:
         ends_at += pace.interval
-        is_more_urgent = delayed.priority < request.priority
-        spare = MIN_SPARE_HOLDS * pace.hold if is_more_urgent else 0.0
-        if ends_at + spare > delayed.objective_at:
+        is_higher_priority = delayed.priority < request.priority
+        slack = MIN_SPARE_HOLDS * pace.hold if is_higher_priority else 0.0
+        if ends_at + slack > delayed.objective_at:
             return False
     return True
--- a/swiftpin/permits/slot_pace.py
+++ b/swiftpin/permits/slot_pace.py
@@ -1,4 +1,4 @@
-"""How fast a queue moves."""
+"""Rate at which slots become free."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SlotPace:
-    """Expected turnover of the slots that one queue is for, in seconds."""
+    """Expected availability of the slots that one queue waits for, in seconds."""
 
     free_in: float
     """Time until the next slot is free."""
 
     interval: float
-    """Time between two slots that become free."""
+    """Time from one slot becoming free to the next."""
 
     hold: float
-    """Time for which a request has its slot."""
+    """Time for which a request holds its slot."""
--- a/swiftpin/permits/target_queue.py
+++ b/swiftpin/permits/target_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait for the same slots, in the order in which they get them."""
+"""Queue of the requests that wait for the same slots."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 from swiftpin.permits.slot_pace import SlotPace
 
 MAX_WAITING: Final = 200
-"""Requests that wait for one target, or one unkeyed service."""
+"""Maximum number of requests that wait for one target, or one unkeyed service."""
 
 ANSWER_TRANSFER_TIME: Final = 0.02
-"""Seconds from the end of a request at its target until the caller has the answer:
-some round trips between zones of a few milliseconds each."""
+"""Seconds from the end of a request at its target until the caller has the answer: a
+few round trips between zones of a few milliseconds each."""
 
 MAX_OVERTAKING_SHARE: Final = 0.9
-"""Upper bound on the share of slots assumed to go to later arrivals: overload may end
-at any moment."""
+"""Upper bound on the share of slots assumed to go to later arrivals, since overload
+may end at any time."""
 
 
 class TargetQueue:
     """Orders requests and rejects those that can't be served.
 
-    A request whose turn comes too late to finish before its end is rejected at once:
-    its caller still has time to try again. A request that will miss its objective is
-    overtaken by all that won't, so its turn depends on later arrivals, of which no more
-    are assumed than the recent grants make certain.
+    A request that would get its slot too late to finish before its end is rejected at
+    once, while its caller still has time to retry. A request that will miss its
+    objective is overtaken by all that won't, so its wait depends on later arrivals.
+    Their rate is estimated as a lower bound from the recent grants.
     """
 
     def __init__(self) -> None:
@@ -39,18 +39,18 @@
 
     @callback
     def record_grant(self, request: PermitRequest, pace: SlotPace, now: float) -> None:
-        """Count a request that got a slot as one of those that overtake others."""
+        """Record a grant, from which the rate of overtaking requests is estimated."""
         is_in_time = now + pace.hold <= request.objective_at
         self._grants.record(request.priority, now, is_in_time=is_in_time)
 
     @callback
     def is_idle(self, now: float) -> bool:
-        """Return whether nobody waits or was served lately."""
+        """Return whether no request is waiting or was granted recently."""
         return not self.requests and self._grants.is_empty(now)
 
     @callback
     def review(self, pace: SlotPace, now: float) -> list[Rejection]:
-        """Put the requests in order; take out and return those that won't be served."""
+        """Order the requests; remove and return those that can't be served."""
         kept: list[PermitRequest] = []
         rejected: list[PermitRequest] = []
         order = order_requests(self.requests, pace, now)
@@ -60,15 +60,15 @@
             starts_at = now + self._estimate_wait(
                 request, len(kept), is_in_time, pace, now
             )
-            is_served = starts_at + pace.hold + ANSWER_TRANSFER_TIME <= request.ends_at
-            if is_served and len(kept) < MAX_WAITING:
+            can_finish = starts_at + pace.hold + ANSWER_TRANSFER_TIME <= request.ends_at
+            if can_finish and len(kept) < MAX_WAITING:
                 kept.append(request)
             else:
                 rejected.append(request)
         self.requests = kept
-        drain = pace.free_in + len(kept) * pace.interval
+        drain_time = pace.free_in + len(kept) * pace.interval
         return [
-            Rejection(request=request, retry_after=spread_retry(request.id, drain))
+            Rejection(request=request, retry_after=spread_retry(request.id, drain_time))
             for request in rejected
         ]
 
@@ -76,18 +76,18 @@
     def _estimate_wait(
         self,
         request: PermitRequest,
-        ahead: int,
+        requests_ahead: int,
         is_in_time: bool,
         pace: SlotPace,
         now: float,
     ) -> float:
-        """Return the seconds until a request would begin."""
-        wait = pace.free_in + ahead * pace.interval
+        """Return the expected seconds until a request gets a slot."""
+        wait = pace.free_in + requests_ahead * pace.interval
         rate = self._grants.min_overtaking_rate(
             request.priority, now, is_in_time=is_in_time
         )
-        overtaken = min(rate * pace.interval, MAX_OVERTAKING_SHARE)
-        # What arrived within the window says nothing of times beyond as long a one.
-        # Else callers with seconds left are rejected in each short crowd, and use up
-        # the few times that they come back.
-        return min(wait / (1 - overtaken), wait + WINDOW * overtaken)
+        overtaking_share = min(rate * pace.interval, MAX_OVERTAKING_SHARE)
+        # The recent arrivals only predict a period as long as the window. Otherwise,
+        # callers with seconds left would be rejected in each short burst and use up
+        # their few retries.
+        return min(wait / (1 - overtaking_share), wait + WINDOW * overtaking_share)
--- a/swiftpin/permits/turnaround.py
+++ b/swiftpin/permits/turnaround.py
@@ -1,4 +1,4 @@
-"""For how long permits are on their way."""
+"""Round-trip time of permits."""
 
 from __future__ import annotations
 
@@ -7,18 +7,19 @@
 from swiftpin.core import callback
 
 MIN_OBSERVATION_WEIGHT: Final = 0.03
-"""Weight of one permit's time."""
+"""Minimum weight of one observation; the first ones have equal weights."""
 
 DEVIATIONS: Final = 4.0
-"""Mean deviations above the mean for the upper bound, as in TCP's retransmission
+"""Mean deviations added to the mean for the upper bound, as in TCP's retransmission
 timer."""
 
 
 class Turnaround:
-    """Seconds for which a permit is out beyond its target's work.
+    """Estimates for how long permits are outstanding beyond their targets' work.
 
-    It goes to the instance that asked, and its end comes back: some milliseconds in a
-    small fleet, tens of them where links are thin and processors small.
+    A permit is sent to the requesting instance, and its release is sent back. This
+    takes a few milliseconds in a small fleet, and tens of them with low bandwidth and
+    little CPU capacity.
     """
 
     def __init__(self) -> None:
@@ -33,7 +34,7 @@
 
     @callback
     def record(self, seconds: float) -> None:
-        """Take one permit's time; the first ones count alike."""
+        """Record the round trip of one permit; the first ones count equally."""
         self._count += 1
         weight = max(1 / self._count, MIN_OBSERVATION_WEIGHT)
         self._deviation += weight * (abs(seconds - self._mean) - self._deviation)
