--- a/swiftpin/permits/cold_targets.py
+++ b/swiftpin/permits/cold_targets.py
@@ -26,7 +26,7 @@
     """Requests per second that one cold target can handle."""
 
     max_per_second: float = math.inf
-    """Requests per second that one cold target may receive from all instances."""
+    """Requests that one cold target may receive within a second from all instances."""
 
     is_keyed: bool = False
 
--- a/swiftpin/permits/issuer_choice.py
+++ b/swiftpin/permits/issuer_choice.py
@@ -12,7 +12,7 @@
 """Targets per permit issuer. Each permit costs its issuer three messages."""
 
 MIN_ISSUERS: Final = 3
-"""Minimum number of issuers: losing one affects the permits of few targets."""
+"""Minimum number of issuers: the loss of one leaves most targets' permits intact."""
 
 MIN_CPU_CAPACITY_SHARE: Final = 0.6
 """Share of the largest instance's CPU capacity that an issuer should have."""
--- a/swiftpin/permits/permit_broker.py
+++ b/swiftpin/permits/permit_broker.py
@@ -96,8 +96,8 @@
     ) -> None:
         """Return a permit to its issuer.
 
-        `seconds` is the time that the target took, 0 if unknown. An `abandoned` request
-        would have taken at least that long.
+        `seconds` is the time that the target took, 0 if it says nothing about the
+        target. An `abandoned` request would have taken at least that long.
         """
         self._release(
             permit.service,
@@ -145,7 +145,7 @@
 
     @callback
     def handle_owner_change(self, service: str) -> None:
-        """Abort requests that a change of key owners of a service has made outdated."""
+        """Abort pending requests whose target no longer owns the key."""
         self._pending.abort_outdated(service)
 
     @callback
@@ -168,7 +168,7 @@
         self._local_issuer.handle_end(link, end, asyncio.get_running_loop().time())
 
     async def async_run(self) -> None:
-        """Reject requests that can't be served in time, until cancelled."""
+        """Reject and abort requests that won't be served, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(EXPIRE_INTERVAL)
--- a/swiftpin/permits/permit_queue.py
+++ b/swiftpin/permits/permit_queue.py
@@ -46,7 +46,7 @@
         self._queues_by_target: dict[str, TargetQueue] = {}
         self._target_by_request: dict[tuple[str, int], str] = {}
         self._service_average = TargetSlots(limit=1)
-        """Used for the mean hold time over all targets of the service."""
+        """Holds the recent mean hold time over all targets of the service."""
 
         self._turnaround = Turnaround()
 
@@ -103,8 +103,8 @@
     ) -> None:
         """Release a permit, or withdraw a queued request.
 
-        `seconds` is the time that the target took, 0 if unknown. An `abandoned` request
-        would have taken at least that long.
+        `seconds` is the time that the target took, 0 if it says nothing about the
+        target. An `abandoned` request would have taken at least that long.
         """
         target = self._target_by_request.pop(request_id, None)
         if target is None:
--- a/swiftpin/permits/permit_request.py
+++ b/swiftpin/permits/permit_request.py
@@ -1,4 +1,4 @@
-"""A permit request as the issuer sees it."""
+"""Permit request at the issuer."""
 
 from __future__ import annotations
 
--- a/tests/permits/asker.py
+++ b/tests/permits/requester.py
@@ -1,4 +1,4 @@
-"""An asker for permits, and targets, for the tests of the queue."""
+"""Permit requester and target factory for the tests of the queue."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 NUMBERS: Final = count(1)
 
 
-class Asker:
-    """Asks for permits and notes the decisions."""
+class Requester:
+    """Requests permits and records the decisions."""
 
     def __init__(self, queue: PermitQueue) -> None:
         self.queue = queue
         self.decisions_by_number: dict[int, PermitDecision] = {}
 
-    def ask(
+    def submit(
         self,
         target: str,
         *,
@@ -30,17 +30,17 @@
         ends_at: float | None = None,
         zone: str = "z1",
         avoided: str = "",
-        asker: str = "i1",
+        requester_id: str = "i1",
         now: float = 0.0,
     ) -> int:
-        """Ask and return the request's number."""
+        """Request a permit and return the request's number."""
         number = next(NUMBERS)
 
-        def decide(decision: PermitDecision) -> None:
+        def on_decision(decision: PermitDecision) -> None:
             self.decisions_by_number[number] = decision
 
         request = PermitRequest(
-            id=(asker, number),
+            id=(requester_id, number),
             service="desk",
             target=target,
             avoided=avoided,
@@ -48,44 +48,44 @@
             priority=priority,
             objective_at=now + 1.0 if objective_at is None else objective_at,
             ends_at=now + 2.0 if ends_at is None else ends_at,
-            on_decision=decide,
+            on_decision=on_decision,
         )
         self.queue.submit(request, now)
         return number
 
-    def end(
+    def release(
         self,
         number: int,
         *,
-        asker: str = "i1",
+        requester_id: str = "i1",
         failed: bool = False,
         seconds: float = 0.1,
         now: float = 0.1,
     ) -> None:
-        """Hand a permit back."""
-        self.queue.release((asker, number), seconds, failed=failed, now=now)
+        """Release a permit."""
+        self.queue.release((requester_id, number), seconds, failed=failed, now=now)
 
     def run(self, target: str, *, seconds: float, times: int, now: float) -> float:
-        """Let a target run requests one by one; return when the last one ended."""
+        """Run requests one by one at a target; return the end time of the last one."""
         for _ in range(times):
-            number = self.ask(target, now=now, objective_at=now + 1, ends_at=now + 2)
+            number = self.submit(target, now=now, objective_at=now + 1, ends_at=now + 2)
             now += seconds
-            self.end(number, seconds=seconds, now=now)
+            self.release(number, seconds=seconds, now=now)
         return now
 
     def is_rejected(self, number: int) -> bool:
-        """Return whether a request was answered without a permit."""
+        """Return whether a request was rejected."""
         decision = self.decisions_by_number.get(number)
         return decision is not None and not decision.is_granted
 
     def is_granted(self, number: int) -> bool:
-        """Return whether a request got a permit."""
+        """Return whether a request was granted a permit."""
         decision = self.decisions_by_number.get(number)
         return decision is not None and decision.is_granted
 
 
 def make_target(name: str, *, slots: int = 1, zone: str = "z1") -> Target:
-    """Return a target."""
+    """Return a target with the given slots and zone."""
     return Target(
         life=TargetLife(name=name),
         service="desk",
--- a/tests/permits/test_cold_limit.py
+++ b/tests/permits/test_cold_limit.py
@@ -1,4 +1,4 @@
-"""Tests of the limit of permits for cold targets, and what callers get of it."""
+"""Tests of the rate limit of permits for cold targets and its effect on callers."""
 
 from __future__ import annotations
 
@@ -14,49 +14,49 @@
 from swiftpin.permits.permit_issuers import PermitIssuers
 from swiftpin.permits.permit_queue import PermitQueue
 from swiftpin.permits.permit_request import PermitRequest
-from tests.permits.asker import Asker, make_target
+from tests.permits.requester import Requester, make_target
 
 RATE = 4.7
-MOST_A_SECOND = 15.05
+MAX_PER_SECOND = 15.05
 COLD = ColdTarget(remaining=3.0, rate=RATE)
 SERVICE_TIME = 0.1
 
 
-class Crowd:
-    """Requests for one target, ten times as many as it bears while it is cold."""
+class OverloadSimulation:
+    """Simulates a target at ten times the load that it can handle while cold."""
 
     def __init__(self) -> None:
         self.granted_at: list[float] = []
-        self.rejected_at: dict[int, float] = {}
+        self.retry_after_by_number: dict[int, float] = {}
         self.now = 0.0
         self.queue = PermitQueue("desk")
         self._numbers = count()
-        self._ends: list[tuple[float, int]] = []
+        self._finish_events: list[tuple[float, int]] = []
 
-    def play(self, seconds: float) -> None:
-        """Let requests come, and end."""
+    def run(self, seconds: float) -> None:
+        """Submit and finish requests for some seconds."""
         steps = int(seconds / EXPIRE_INTERVAL)
         for _ in range(steps):
             self.now += EXPIRE_INTERVAL
-            while self._ends and self._ends[0][0] <= self.now:
-                _, number = heappop(self._ends)
+            while self._finish_events and self._finish_events[0][0] <= self.now:
+                _, number = heappop(self._finish_events)
                 self.queue.release(
                     ("i", number), SERVICE_TIME, failed=False, now=self.now
                 )
             for _ in range(round(10 * RATE * EXPIRE_INTERVAL)):
-                self._ask()
+                self._submit_request()
             self.queue.expire(self.now)
 
-    def _ask(self) -> None:
-        """Let one request come, which waits for a second at most."""
+    def _submit_request(self) -> None:
+        """Submit one request, which waits for at most one second."""
         number = next(self._numbers)
 
-        def decide(decision: PermitDecision) -> None:
+        def on_decision(decision: PermitDecision) -> None:
             if not decision.is_granted:
-                self.rejected_at[number] = decision.retry_after
+                self.retry_after_by_number[number] = decision.retry_after
                 return
             self.granted_at.append(self.now)
-            heappush(self._ends, (self.now + SERVICE_TIME, number))
+            heappush(self._finish_events, (self.now + SERVICE_TIME, number))
 
         self.queue.submit(
             PermitRequest(
@@ -68,84 +68,84 @@
                 priority=1,
                 objective_at=self.now + 0.6,
                 ends_at=self.now + 1.0,
-                on_decision=decide,
+                on_decision=on_decision,
             ),
             self.now,
         )
 
-    def most_in_a_second(self) -> int:
-        """Return the largest number of permits within any second."""
+    def max_within_a_second(self) -> int:
+        """Return the largest number of permits granted within any second."""
         return max(
-            sum(began <= at < began + 1 for at in self.granted_at)
-            for began in self.granted_at
+            sum(start <= at < start + 1 for at in self.granted_at)
+            for start in self.granted_at
         )
 
 
-def test_crowd_at_a_cold_target_gets_what_the_target_bears() -> None:
-    """Guards against a crash of a target that is cold, and against an idle one."""
-    crowd = Crowd()
+def test_overloaded_cold_target_gets_its_cold_rate() -> None:
+    """Guards against overloading a cold target, and against leaving it idle."""
+    simulation = OverloadSimulation()
     target = make_target("a", slots=4)
-    crowd.queue.set_targets([target], 0.0, cold_by_id={"a": COLD})
-    crowd.play(3.0)
-    assert crowd.most_in_a_second() <= RATE + 1
-    assert len(crowd.granted_at) >= 0.8 * RATE * 3.0
-    assert min(crowd.rejected_at.values()) > 0
+    simulation.queue.set_targets([target], 0.0, cold_by_id={"a": COLD})
+    simulation.run(3.0)
+    assert simulation.max_within_a_second() <= RATE + 1
+    assert len(simulation.granted_at) >= 0.8 * RATE * 3.0
+    assert min(simulation.retry_after_by_number.values()) > 0
 
 
-def test_target_that_became_warm_gets_all_that_its_slots_bear() -> None:
-    """Guards against a limit that outlives its reason."""
-    crowd = Crowd()
+def test_target_that_became_warm_uses_all_slots() -> None:
+    """Guards against a limit that still applies once the target is warm."""
+    simulation = OverloadSimulation()
     target = make_target("a", slots=4)
-    crowd.queue.set_targets([target], 0.0, cold_by_id={"a": COLD})
-    crowd.play(3.0)
-    while_cold = len(crowd.granted_at)
-    crowd.play(2.0)
-    assert len(crowd.granted_at) - while_cold >= 2 * 0.9 * 4 / SERVICE_TIME / 2
+    simulation.queue.set_targets([target], 0.0, cold_by_id={"a": COLD})
+    simulation.run(3.0)
+    while_cold = len(simulation.granted_at)
+    simulation.run(2.0)
+    assert len(simulation.granted_at) - while_cold >= 2 * 0.9 * 4 / SERVICE_TIME / 2
 
 
 def test_target_that_is_cold_again_is_limited_at_once() -> None:
-    """Guards against permits ahead, and in a row, when a target turns cold."""
-    crowd = Crowd()
+    """Guards against a burst of permits when a warm target becomes cold."""
+    simulation = OverloadSimulation()
     target = make_target("a", slots=4)
-    crowd.queue.set_targets([target], 0.0)
-    crowd.play(1.0)
-    crowd.queue.set_targets([target], crowd.now, cold_by_id={"a": COLD})
-    crowd.granted_at.clear()
-    crowd.play(1.0)
-    assert len(crowd.granted_at) <= RATE + 1
+    simulation.queue.set_targets([target], 0.0)
+    simulation.run(1.0)
+    simulation.queue.set_targets([target], simulation.now, cold_by_id={"a": COLD})
+    simulation.granted_at.clear()
+    simulation.run(1.0)
+    assert len(simulation.granted_at) <= RATE + 1
 
 
-def test_any_target_will_do_means_a_warm_one_first() -> None:
-    """Guards against cold targets that get requests while warm ones idle."""
+def test_unkeyed_requests_prefer_warm_targets() -> None:
+    """Guards against sending unkeyed requests to cold targets while warm ones idle."""
     queue = PermitQueue("vault")
     queue.set_targets([make_target("a"), make_target("b")], 0.0, cold_by_id={"a": COLD})
-    asker = Asker(queue)
-    first, second, third = (asker.ask("", now=1.0) for _ in range(3))
-    assert asker.decisions_by_number[first].target == "b"
-    assert asker.decisions_by_number[second].target == "a"
-    assert third not in asker.decisions_by_number
+    requester = Requester(queue)
+    first, second, third = (requester.submit("", now=1.0) for _ in range(3))
+    assert requester.decisions_by_number[first].target == "b"
+    assert requester.decisions_by_number[second].target == "a"
+    assert third not in requester.decisions_by_number
 
 
-def test_issuer_without_a_share_leaves_cold_targets_alone() -> None:
-    """Guards against many instances that each give a cold target its whole rate."""
+def test_issuer_with_rate_zero_grants_no_permit_for_cold_targets() -> None:
+    """Guards against many issuers that each grant a cold target its full rate."""
     queue = PermitQueue("desk")
-    barred = ColdTarget(remaining=3.0, rate=0.0)
-    queue.set_targets([make_target("a")], 0.0, cold_by_id={"a": barred})
-    asker = Asker(queue)
-    hopeless = asker.ask("a", now=0.0, ends_at=2.0)
-    assert asker.is_rejected(hopeless)
-    waiting = asker.ask("a", now=2.0, ends_at=4.0)
+    no_rate = ColdTarget(remaining=3.0, rate=0.0)
+    queue.set_targets([make_target("a")], 0.0, cold_by_id={"a": no_rate})
+    requester = Requester(queue)
+    rejected = requester.submit("a", now=0.0, ends_at=2.0)
+    assert requester.is_rejected(rejected)
+    waiting = requester.submit("a", now=2.0, ends_at=4.0)
     queue.expire(2.9)
-    assert waiting not in asker.decisions_by_number
+    assert waiting not in requester.decisions_by_number
     queue.expire(3.1)
-    assert asker.is_granted(waiting)
+    assert requester.is_granted(waiting)
 
 
 @pytest.mark.parametrize("is_keyed", [True, False])
-def test_first_issuers_in_rank_alone_permit_requests_to_cold_targets(
+def test_only_highest_ranked_issuers_grant_permits_for_cold_targets(
     is_keyed: bool,
 ) -> None:
-    """Guards against a crowd at a cold target while instances do not see each other."""
+    """Guards against overloading a cold target while instances are disconnected."""
     names = [f"i{number}" for number in range(12)]
     issuers = PermitIssuers(
         term=1, number=1, peers_by_incarnation=dict.fromkeys(names, ""), members=40
@@ -153,20 +153,20 @@
     cold = ColdTargets(
         remaining_by_id={"a": 3.0},
         rate=RATE,
-        max_per_second=MOST_A_SECOND,
+        max_per_second=MAX_PER_SECOND,
         is_keyed=is_keyed,
     )
     rates = [
         cold.for_issuer("desk", name, issuers)["a"].rate for name in [*names, "other"]
     ]
     assert sorted(rates, reverse=True)[:3] == [RATE, RATE, 0.0]
-    assert sum(rate + 1 for rate in rates if rate) <= MOST_A_SECOND
+    assert sum(rate + 1 for rate in rates if rate) <= MAX_PER_SECOND
     first = issuers.ranked("a" if is_keyed else "desk")[0]
     assert cold.for_issuer("desk", first, issuers)["a"].rate == RATE
 
 
 def test_service_without_a_declared_rate_has_no_limit() -> None:
-    """Cold targets are slow there, and bear as many requests as their slots."""
+    """Cold targets of such a service can handle as many requests as their slots."""
     issuers = PermitIssuers(term=1, number=1, peers_by_incarnation={}, members=1)
     assert (
         ColdTargets(remaining_by_id={"a": 3.0}).for_issuer("desk", "i", issuers) == {}
--- a/tests/permits/test_permit_broker.py
+++ b/tests/permits/test_permit_broker.py
@@ -1,4 +1,4 @@
-"""Tests of asking for permits."""
+"""Tests of the permit broker."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from swiftpin.permits.permit import Permit
 from swiftpin.permits.permit_broker import PermitBroker
 from swiftpin.permits.permit_query import PermitQuery
-from tests.permits.asker import make_target
+from tests.permits.requester import make_target
 
 SERVICE = "desk"
 
 
 class Owner:
-    """Who owns the key that is asked for."""
+    """Owner of the requested key."""
 
     def __init__(self) -> None:
         self.name = "a"
 
     def is_a(self) -> bool:
-        """Return whether target a owns it."""
+        """Return whether target a owns the key."""
         return self.name == "a"
 
 
@@ -33,14 +33,14 @@
 
 @pytest.fixture(name="broker")
 async def broker_fixture() -> PermitBroker:
-    """Return the permits of an instance that hands out those of target a itself."""
+    """Return the broker of an instance that issues target a's permits itself."""
     broker = PermitBroker("i1/1", "z1")
     broker.set_targets(SERVICE, [make_target("a")], [])
     return broker
 
 
 def make_query(owner: Owner) -> PermitQuery:
-    """Return the need of a request for a's slot."""
+    """Return a query for a slot of target a."""
     now = asyncio.get_running_loop().time()
     return PermitQuery(
         service=SERVICE,
@@ -53,24 +53,23 @@
     )
 
 
-async def async_permit(broker: PermitBroker, owner: Owner) -> Permit:
-    """Return a permit that is there to be had."""
-    asked = await broker.async_request_permit(make_query(owner))
-    assert asked is not None
-    assert asked[1] is not None
-    return asked[1]
+async def async_get_permit(broker: PermitBroker, owner: Owner) -> Permit:
+    """Request a permit, which must be granted."""
+    result = await broker.async_request_permit(make_query(owner))
+    assert result is not None
+    assert result[1] is not None
+    return result[1]
 
 
-async def test_request_does_not_wait_at_its_keys_former_owner(
+async def test_request_for_the_former_owner_of_a_moved_key_is_aborted(
     broker: PermitBroker, owner: Owner
 ) -> None:
-    """Symptom: requests for a key that had just moved were refused by its former owner.
+    """Guards against sending requests to the former owner of a moved key.
 
-    Sequence: most requests for a hot key waited for a slot there; the key moved; each
-    got a slot in turn, was sent and refused. Cause: whoever waited learnt of the move
-    only by the refusal, which counts as a send.
+    Most requests for a hot key wait for its owner's slots when it moves. If they are
+    not aborted, each gets a slot in turn, is sent and refused, which counts as a send.
     """
-    permit = await async_permit(broker, owner)
+    permit = await async_get_permit(broker, owner)
     waiting = asyncio.ensure_future(broker.async_request_permit(make_query(owner)))
     await asyncio.sleep(0)
     owner.name = "b"
@@ -81,20 +80,20 @@
     assert await waiting is None
     owner.name = "a"
     broker.release(permit, 0.01, failed=False)
-    assert await async_permit(broker, owner)
+    assert await async_get_permit(broker, owner)
 
 
-async def test_request_whose_key_stays_goes_on_waiting(
+async def test_request_for_a_key_that_did_not_move_keeps_waiting(
     broker: PermitBroker, owner: Owner
 ) -> None:
-    """Other keys of the service move all the time while hot keys are shared out."""
-    permit = await async_permit(broker, owner)
+    """Guards against aborting requests when only other keys of the service move."""
+    permit = await async_get_permit(broker, owner)
     waiting = asyncio.ensure_future(broker.async_request_permit(make_query(owner)))
     await asyncio.sleep(0)
     broker.handle_owner_change(SERVICE)
     await asyncio.sleep(0)
     assert not waiting.done()
     broker.release(permit, 0.01, failed=False)
-    asked = await waiting
-    assert asked is not None
-    assert asked[1] is not None
+    result = await waiting
+    assert result is not None
+    assert result[1] is not None
--- a/tests/permits/test_permit_issuer.py
+++ b/tests/permits/test_permit_issuer.py
@@ -1,4 +1,4 @@
-"""Tests of permits that are given to other instances."""
+"""Tests of permits issued to other instances."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from swiftpin.fleet.link import PeerLink
 from swiftpin.fleet.proto import fleet_pb2 as pb
 from swiftpin.permits.permit_issuer import PermitIssuer
-from tests.permits.asker import make_target
+from tests.permits.requester import make_target
 
 
 class RecordingLink(PeerLink):
-    """A link that keeps what is sent on it."""
+    """A link that records the answers sent over it."""
 
     def __init__(self, incarnation: str) -> None:
         handler: Any = None
@@ -23,12 +23,12 @@
         self.answers: list[Item] = []
 
     def send(self, item: Item) -> None:
-        """Keep an answer."""
+        """Record an answer."""
         self.answers.append(item.answer)
 
 
 def make_ask(number: int) -> Item:
-    """Return an ask for the only slot."""
+    """Return a permit request for the only slot."""
     return pb.PermitAsk(
         id=number,
         service="desk",
@@ -48,11 +48,10 @@
     return issuer
 
 
-def test_permits_of_a_crashed_instance_come_back(issuer: PermitIssuer) -> None:
-    """Symptom: a target idles though others wait for its slot.
+def test_permits_of_a_crashed_instance_are_released(issuer: PermitIssuer) -> None:
+    """Guards against an idle target while other instances wait for its slot.
 
-    Sequence: an instance has the permit and crashes; its link breaks.
-    Cause: nobody would ever hand the permit back.
+    An instance that holds the permit crashes and can't release it; its link is lost.
     """
     crashed, other = RecordingLink("i1/a"), RecordingLink("i2/b")
     issuer.handle_ask(crashed, make_ask(1), 0.0)
@@ -63,28 +62,30 @@
     assert other.answers[0].granted
 
 
-def test_late_end_takes_no_permit_of_the_next_link(issuer: PermitIssuer) -> None:
-    """Symptom: more requests run at a target than it has slots.
+def test_delayed_release_of_a_lost_link_does_not_affect_the_new_link(
+    issuer: PermitIssuer,
+) -> None:
+    """Guards against more requests at a target than it has slots.
 
-    Sequence: a link breaks and is opened again; its instance gets a permit under a
-    number that the old link had used, and a late end of the old one arrives.
-    Cause: permits were kept by the instance's name.
+    After a reconnect, an instance gets a permit under a number that its old link had
+    used, and a delayed release from the old link arrives. If permits were kept by
+    instance, it would release the new permit.
     """
-    before, after = RecordingLink("i1/a"), RecordingLink("i1/a")
-    issuer.handle_ask(before, make_ask(1), 0.0)
-    issuer.release_link(before, 0.1)
-    issuer.handle_ask(after, make_ask(1), 0.1)
-    issuer.handle_end(before, pb.PermitEnd(id=1, service="desk"), 0.2)
-    issuer.handle_ask(after, make_ask(2), 0.2)
-    assert [answer.id for answer in after.answers] == [1]
+    old_link, new_link = RecordingLink("i1/a"), RecordingLink("i1/a")
+    issuer.handle_ask(old_link, make_ask(1), 0.0)
+    issuer.release_link(old_link, 0.1)
+    issuer.handle_ask(new_link, make_ask(1), 0.1)
+    issuer.handle_end(old_link, pb.PermitEnd(id=1, service="desk"), 0.2)
+    issuer.handle_ask(new_link, make_ask(2), 0.2)
+    assert [answer.id for answer in new_link.answers] == [1]
 
 
-def test_rejected_instances_are_told_when_to_come_back(issuer: PermitIssuer) -> None:
-    """What the queue decides goes over the link, with the wait."""
+def test_rejection_includes_the_retry_delay(issuer: PermitIssuer) -> None:
+    """The rejection sent over the link includes the retry delay."""
     link = RecordingLink("i1/a")
     issuer.handle_ask(link, make_ask(1), 0.0)
-    hopeless = make_ask(2)
-    hopeless.time_left = 0.05
-    issuer.handle_ask(link, hopeless, 0.0)
+    late_request = make_ask(2)
+    late_request.time_left = 0.05
+    issuer.handle_ask(link, late_request, 0.0)
     assert not link.answers[1].granted
     assert link.answers[1].retry_after > 0
--- a/tests/permits/test_service_order.py
+++ b/tests/permits/test_service_order.py
@@ -15,14 +15,14 @@
 from swiftpin.permits.permit_request import PermitRequest
 from swiftpin.permits.service_order import ServiceOrder, order_requests
 from swiftpin.permits.slot_pace import SlotPace
-from tests.permits.asker import make_target
+from tests.permits.requester import make_target
 
 PACE = SlotPace(free_in=0.0, interval=0.1, hold=0.2)
-URGENT, USUAL = 1, 2
+URGENT, NORMAL = 1, 2
 
 
 def make_request(number: int, priority: int, objective_at: float) -> PermitRequest:
-    """Return a request that waits."""
+    """Return a waiting request."""
     return PermitRequest(
         id=("i", number),
         service="desk",
@@ -37,45 +37,45 @@
 
 
 def numbers(requests: tuple[PermitRequest, ...]) -> list[int]:
-    """Return the numbers of some requests."""
+    """Return the numbers of the requests."""
     return [request.id[1] for request in requests]
 
 
 def order(*requests: PermitRequest) -> ServiceOrder:
-    """Return the order of some requests at time 0."""
+    """Return the service order of the requests at time 0."""
     return order_requests(requests, PACE, 0.0)
 
 
-def test_urgent_requests_with_time_to_spare_let_others_be_in_time() -> None:
-    """Guards against lookups that are late behind orders which could have waited."""
-    found = order(make_request(1, URGENT, 1.0), make_request(2, USUAL, 0.25))
-    assert numbers(found.in_time) == [2, 1]
-    close = order(make_request(1, URGENT, 0.35), make_request(2, USUAL, 0.25))
-    assert numbers(close.in_time) == [1]
+def test_urgent_requests_with_slack_let_others_be_in_time() -> None:
+    """Guards against lookups that are late due to orders that could have waited."""
+    result = order(make_request(1, URGENT, 1.0), make_request(2, NORMAL, 0.25))
+    assert numbers(result.in_time) == [2, 1]
+    without_slack = order(make_request(1, URGENT, 0.35), make_request(2, NORMAL, 0.25))
+    assert numbers(without_slack.in_time) == [1]
 
 
 def test_late_urgent_requests_do_not_make_others_late() -> None:
-    """Guards against orders that miss their objective and hold up lookups in time."""
-    found = order(make_request(1, URGENT, 0.1), make_request(2, USUAL, 0.25))
-    assert numbers(found.in_time) == [2]
-    assert numbers(found.late) == [1]
+    """Guards against late orders that delay lookups that could be in time."""
+    result = order(make_request(1, URGENT, 0.1), make_request(2, NORMAL, 0.25))
+    assert numbers(result.in_time) == [2]
+    assert numbers(result.late) == [1]
 
 
-def test_urgent_request_is_not_made_late_for_another() -> None:
-    """Guards against a lookup that takes the last slot in which an order is in time."""
-    found = order(make_request(1, URGENT, 0.3), make_request(2, USUAL, 0.25))
-    assert numbers(found.in_time) == [1]
-    assert numbers(found.late) == [2]
+def test_urgent_request_is_not_made_late_by_another() -> None:
+    """Guards against a lookup that makes an order late by taking its slot."""
+    result = order(make_request(1, URGENT, 0.3), make_request(2, NORMAL, 0.25))
+    assert numbers(result.in_time) == [1]
+    assert numbers(result.late) == [2]
 
 
 def test_late_requests_are_served_by_priority_then_by_their_end() -> None:
-    """Nobody's objective is at stake any more."""
-    found = order(
-        make_request(1, USUAL, 0.1),
+    """Late requests can't meet their objective, so it does not affect their order."""
+    result = order(
+        make_request(1, NORMAL, 0.1),
         make_request(2, URGENT, 0.15),
         make_request(3, URGENT, 0.1),
     )
-    assert numbers(found.late) == [3, 2, 1]
+    assert numbers(result.late) == [3, 2, 1]
 
 
 @given(
@@ -86,26 +86,26 @@
 def test_every_request_is_ordered_and_those_in_time_fit(
     waiting: list[tuple[int, float]],
 ) -> None:
-    """Nobody is lost, and what is promised can be kept."""
+    """No request is lost, and those that are in time meet their objective."""
     requests = [
         make_request(number, priority, objective)
         for number, (priority, objective) in enumerate(waiting)
     ]
-    found = order(*requests)
-    assert sorted(numbers(found.in_time + found.late)) == list(range(len(requests)))
-    for position, request in enumerate(found.in_time):
+    result = order(*requests)
+    assert sorted(numbers(result.in_time + result.late)) == list(range(len(requests)))
+    for position, request in enumerate(result.in_time):
         ends_at = position * PACE.interval + PACE.hold
         assert ends_at <= request.objective_at + 1e-9
 
 
 SLOTS = 4
-SECONDS = 30.0
-WORK_BY_PRIORITY = {URGENT: 0.29, USUAL: 0.22}
-OBJECTIVE_BY_PRIORITY = {URGENT: 1.2, USUAL: 1.0}
+DURATION = 30.0
+WORK_BY_PRIORITY = {URGENT: 0.29, NORMAL: 0.22}
+OBJECTIVE_BY_PRIORITY = {URGENT: 1.2, NORMAL: 1.0}
 
 
-class Desk:
-    """One target at its limit, with orders and lookups of different work."""
+class Simulation:
+    """Simulates a target near its capacity, with orders and lookups."""
 
     def __init__(self, seed: int, load: float) -> None:
         self._rng = Random(seed)
@@ -114,14 +114,14 @@
         self._queue = PermitQueue("desk")
         self._queue.set_targets([make_target("a", slots=SLOTS)], 0.0)
         self._events: list[tuple[float, int, int | None, float]] = []
-        self.asked = {URGENT: 0, USUAL: 0}
-        self.in_time = {URGENT: 0, USUAL: 0}
+        self.submitted = {URGENT: 0, NORMAL: 0}
+        self.in_time = {URGENT: 0, NORMAL: 0}
         self.now = 0.0
 
-    def play(self) -> None:
-        """Play to the end."""
-        self._plan(0.0, None, 0.0)
-        while self._events and self.now < SECONDS:
+    def run(self) -> None:
+        """Run the simulation to the end."""
+        self._schedule(0.0, None, 0.0)
+        while self._events and self.now < DURATION:
             self.now, _, number, seconds = heappop(self._events)
             if number is None:
                 self._arrive()
@@ -129,38 +129,38 @@
                 self._queue.release(("i", number), seconds, failed=False, now=self.now)
             self._queue.expire(self.now)
 
-    def _plan(self, at: float, number: int | None, seconds: float) -> None:
-        """Plan an arrival, or the end of a request's work."""
+    def _schedule(self, at: float, number: int | None, seconds: float) -> None:
+        """Schedule an arrival, or the end of a request."""
         heappush(self._events, (at, next(self._numbers), number, seconds))
 
     def _arrive(self) -> None:
-        """Let a request come, and plan the next one."""
+        """Submit a request and schedule the next arrival."""
         number = next(self._numbers)
-        priority = URGENT if self._rng.random() < 0.6 else USUAL
-        self.asked[priority] += 1
+        priority = URGENT if self._rng.random() < 0.6 else NORMAL
+        self.submitted[priority] += 1
         objective_at = self.now + OBJECTIVE_BY_PRIORITY[priority]
 
-        def decide(decision: PermitDecision) -> None:
+        def on_decision(decision: PermitDecision) -> None:
             if not decision.is_granted:
                 return
             work = WORK_BY_PRIORITY[priority] * self._rng.lognormvariate(-0.045, 0.3)
             self.in_time[priority] += self.now + work <= objective_at
-            self._plan(self.now + work, number, work)
+            self._schedule(self.now + work, number, work)
 
         request = make_request(number, priority, objective_at)
-        self._queue.submit(replace(request, on_decision=decide), self.now)
-        self._plan(self.now + self._rng.expovariate(self._rate), None, 0.0)
+        self._queue.submit(replace(request, on_decision=on_decision), self.now)
+        self._schedule(self.now + self._rng.expovariate(self._rate), None, 0.0)
 
 
 def test_orders_and_lookups_at_a_full_target_are_both_served_in_time() -> None:
-    """Guards against lookups that starve while orders are most of the work."""
-    asked = {URGENT: 0, USUAL: 0}
-    in_time = {URGENT: 0, USUAL: 0}
+    """Guards against starving lookups while most of the load is orders."""
+    submitted = {URGENT: 0, NORMAL: 0}
+    in_time = {URGENT: 0, NORMAL: 0}
     for seed in range(6):
-        desk = Desk(seed, load=0.95)
-        desk.play()
-        for priority in asked:
-            asked[priority] += desk.asked[priority]
-            in_time[priority] += desk.in_time[priority]
-    assert in_time[URGENT] / asked[URGENT] >= 0.8
-    assert in_time[USUAL] / asked[USUAL] >= 0.8
+        simulation = Simulation(seed, load=0.95)
+        simulation.run()
+        for priority in submitted:
+            submitted[priority] += simulation.submitted[priority]
+            in_time[priority] += simulation.in_time[priority]
+    assert in_time[URGENT] / submitted[URGENT] >= 0.8
+    assert in_time[NORMAL] / submitted[NORMAL] >= 0.8
