--- a/tests/router/target_standin.py
+++ b/tests/router/target_standin.py
@@ -91,13 +91,13 @@
             (first, last, fence)
             for first, last, fence in self.granted_fences
             if any(
-                low <= last and first <= high and fence <= earlier
-                for low, high, earlier in self.earlier_fences
+                low <= last and first <= high and fence <= earlier_fence
+                for low, high, earlier_fence in self.earlier_fences
             )
         ]
 
     def crash(self) -> None:
-        """Stop soon, without notice."""
+        """Simulate a crash: close all connections without notice."""
         loop = asyncio.get_running_loop()
         self.crash_task = loop.create_task(self.async_unload())
 
