--- a/swiftpin/permits/permit_broker.py
+++ b/swiftpin/permits/permit_broker.py
@@ -1,4 +1,4 @@
-"""Permits as the request path of an instance asks for them."""
+"""Access of the request path to permits."""
 
 from __future__ import annotations
 
@@ -13,7 +13,11 @@
 from swiftpin.fleet.proto import fleet_pb2 as pb
 from swiftpin.model.target import Target
 from swiftpin.permits.cold_targets import ALL_WARM, ColdTargets
-from swiftpin.permits.pending_asks import AskEnd, PendingAsk, PendingAsks
+from swiftpin.permits.pending_requests import (
+    AbortReason,
+    PendingRequest,
+    PendingRequests,
+)
 from swiftpin.permits.permit import Permit
 from swiftpin.permits.permit_decision import PermitDecision
 from swiftpin.permits.permit_issuer import PermitIssuer
@@ -22,11 +26,11 @@
 from swiftpin.permits.permit_request import PermitRequest
 
 EXPIRE_INTERVAL: Final = 0.05
-"""Seconds between two looks for requests that won't be served in time."""
+"""Seconds between two checks for requests that can't be served in time."""
 
 
 class PermitBroker:
-    """Asks the right instance for permits, and hands out those of this one."""
+    """Requests permits from the responsible issuer, which may be this instance."""
 
     def __init__(
         self,
@@ -37,44 +41,44 @@
         self._zone = zone
         self.issuers: PermitIssuers = NO_ISSUERS
         self._incarnation = incarnation
-        self._own_issuer = PermitIssuer(on_turnaround)
+        self._local_issuer = PermitIssuer(on_turnaround)
         self._links_by_incarnation: dict[str, PeerLink] = {}
-        self._numbers = count(1)
-        self._pending = PendingAsks()
+        self._request_numbers = count(1)
+        self._pending = PendingRequests()
 
     async def async_request_permit(
         self, query: PermitQuery
     ) -> tuple[PermitDecision, Permit | None] | None:
         """Return the decision and, when granted, the permit.
 
-        Returns None when the key has another owner by now, or none. An instance whose
-        link breaks before it answers is replaced by the next one.
+        Return None if the target no longer owns the key. If the link to the issuer is
+        lost before it answers, the next issuer is asked.
         """
         loop = asyncio.get_running_loop()
         service = query.service
         while True:
-            number = next(self._numbers)
-            issuer = self._issuer_of(query.target or service, loop.time())
-            pending = PendingAsk(
+            number = next(self._request_numbers)
+            issuer = self._find_issuer(query.target or service, loop.time())
+            pending = PendingRequest(
                 query=query, future=loop.create_future(), issuer=issuer
             )
             self._pending.add(number, pending)
             try:
                 if issuer is None:
-                    self._ask_self(query, number, loop.time())
+                    self._request_locally(query, number, loop.time())
                 else:
-                    self._ask_peer(issuer, query, number, loop.time())
+                    self._request_from_peer(issuer, query, number, loop.time())
                 decision = await pending.future
             except BaseException:
-                self._end(service, number, issuer, 0.0, failed=False)
+                self._release(service, number, issuer, 0.0, failed=False)
                 raise
             finally:
-                self._pending.drop(number)
+                self._pending.remove(number)
             match decision:
-                case AskEnd():
-                    # A permit may be on its way.
-                    self._end(service, number, issuer, 0.0, failed=False)
-                    if decision is AskEnd.OUTDATED:
+                case AbortReason():
+                    # The issuer may have granted a permit in the meantime.
+                    self._release(service, number, issuer, 0.0, failed=False)
+                    if decision is AbortReason.OUTDATED:
                         return None
                 case PermitDecision(is_granted=False):
                     return decision, None
@@ -90,11 +94,12 @@
     def release(
         self, permit: Permit, seconds: float, *, failed: bool, abandoned: bool = False
     ) -> None:
-        """Hand a permit back; `seconds` is 0 when it says nothing of the target.
+        """Return a permit to its issuer.
 
-        A request that was given up (`abandoned`) would have taken at least as long.
+        `seconds` is the time that the target took, 0 if it says nothing about the
+        target. An `abandoned` request would have taken at least that long.
         """
-        self._end(
+        self._release(
             permit.service,
             permit.number,
             permit.issuer,
@@ -111,11 +116,11 @@
         leaving: list[Target],
         cold: ColdTargets = ALL_WARM,
     ) -> None:
-        """Take the targets of a service and their slots.
+        """Update the targets of a service and their slots.
 
-        Those that are `leaving` serve no more than the keys that they still own.
+        Targets that are `leaving` only serve requests for keys that they still own.
         """
-        self._own_issuer.set_targets(
+        self._local_issuer.set_targets(
             service,
             targets,
             leaving,
@@ -125,60 +130,60 @@
 
     @callback
     def add_link(self, link: PeerLink) -> None:
-        """Take a link whose other side said who it is."""
+        """Add a link whose peer is identified."""
         if link.is_outgoing:
             self._links_by_incarnation[link.incarnation] = link
 
     @callback
     def remove_link(self, link: PeerLink) -> None:
-        """Give up on a link that broke, and what its other side held here."""
-        self._pending.end_of(link)
+        """Remove a lost link, abort requests sent over it and release its permits."""
+        self._pending.abort_for_link(link)
         if self._links_by_incarnation.get(link.incarnation) is link:
             del self._links_by_incarnation[link.incarnation]
         if not link.is_outgoing:
-            self._own_issuer.forget_link(link, asyncio.get_running_loop().time())
+            self._local_issuer.release_link(link, asyncio.get_running_loop().time())
 
     @callback
     def handle_owner_change(self, service: str) -> None:
-        """Act on a change of the owners of a service's keys."""
-        self._pending.end_outdated(service)
+        """Abort pending requests whose target no longer owns the key."""
+        self._pending.abort_outdated(service)
 
     @callback
     def handle_ask(self, link: PeerLink, ask: Item) -> None:
-        """Decide for another instance."""
-        self._own_issuer.handle_ask(link, ask, asyncio.get_running_loop().time())
+        """Handle a permit request of another instance."""
+        self._local_issuer.handle_ask(link, ask, asyncio.get_running_loop().time())
 
     @callback
     def handle_answer(self, link: PeerLink, answer: Item) -> None:
-        """Take another instance's decision."""
+        """Handle another instance's decision."""
         decision = PermitDecision(
             target=answer.target if answer.granted else "",
             retry_after=answer.retry_after,
         )
-        self._pending.settle(answer.id, link, decision)
+        self._pending.resolve(answer.id, link, decision)
 
     @callback
     def handle_end(self, link: PeerLink, end: Item) -> None:
-        """Take another instance's permit back."""
-        self._own_issuer.handle_end(link, end, asyncio.get_running_loop().time())
+        """Handle the release of another instance's permit."""
+        self._local_issuer.handle_end(link, end, asyncio.get_running_loop().time())
 
     async def async_run(self) -> None:
-        """Judge again and again who still waits with a chance, until cancelled."""
+        """Reject and abort requests that won't be served, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(EXPIRE_INTERVAL)
             now = loop.time()
-            self._own_issuer.expire(now)
-            self._pending.end_silent(now)
+            self._local_issuer.expire(now)
+            self._pending.abort_unresponsive(now)
 
     @callback
-    def _ask_self(self, query: PermitQuery, number: int, now: float) -> None:
-        """Have this instance decide."""
+    def _request_locally(self, query: PermitQuery, number: int, now: float) -> None:
+        """Submit a request to this instance's own issuer."""
 
         def on_decision(decision: PermitDecision) -> None:
-            self._pending.settle(number, None, decision)
+            self._pending.resolve(number, None, decision)
 
-        self._own_issuer.submit(
+        self._local_issuer.submit(
             PermitRequest(
                 id=(self._incarnation, number),
                 service=query.service,
@@ -194,10 +199,10 @@
         )
 
     @callback
-    def _ask_peer(
+    def _request_from_peer(
         self, issuer: PeerLink, query: PermitQuery, number: int, now: float
     ) -> None:
-        """Have another instance decide; clocks differ, so it is told what is left."""
+        """Send a request to a peer, with relative times because clocks differ."""
         issuer.send(
             pb.Item(
                 ask=pb.PermitAsk(
@@ -214,7 +219,7 @@
         )
 
     @callback
-    def _end(
+    def _release(
         self,
         service: str,
         number: int,
@@ -224,9 +229,9 @@
         failed: bool,
         abandoned: bool = False,
     ) -> None:
-        """Hand back a permit, or a question that nobody waits for any more."""
+        """Release a permit, or withdraw a request that is no longer pending."""
         if issuer is None:
-            self._own_issuer.release(
+            self._local_issuer.release(
                 service,
                 (self._incarnation, number),
                 seconds,
@@ -248,11 +253,12 @@
         )
 
     @callback
-    def _issuer_of(self, subject: str, now: float) -> PeerLink | None:
-        """Return the link to who hands out permits, None for this instance.
+    def _find_issuer(self, subject: str, now: float) -> PeerLink | None:
+        """Return the link to the responsible issuer, None if it is this instance.
 
-        Where none can be reached this instance decides by itself; together with
-        others it may then send more than a target has slots, which the target queues.
+        If no issuer is reachable, this instance issues the permit itself. If several
+        instances do so, a target may receive more requests than it has slots; it queues
+        the excess.
         """
         for incarnation in self.issuers.ranked(subject):
             if incarnation == self._incarnation:
