--- a/swiftpin/fleet/document_channel.py
+++ b/swiftpin/fleet/document_channel.py
@@ -18,10 +18,10 @@
 """Maximum number of fragments on one link that the other side has not confirmed."""
 
 MAX_IN_FLIGHT_SECONDS: Final = 0.05
-"""Seconds of the instance's own bandwidth that all unconfirmed fragments may use."""
+"""Limit on all unconfirmed fragments, in seconds of the instance's own bandwidth."""
 
 MIN_FRAGMENT_BUDGET: Final = 8
-"""Unconfirmed fragments on all links that every instance may have, at any bandwidth."""
+"""Minimum of the limit on all unconfirmed fragments, regardless of the bandwidth."""
 
 EMPTY: Final = memoryview(b"")
 
@@ -60,7 +60,7 @@
 
     @callback
     def _send_fragments(self) -> None:
-        """Send fragments while the budget lasts."""
+        """Send fragments until the budget is used up."""
         for channel in list(self._queue):
             while self._available and channel.send_fragment():
                 self._available -= 1
@@ -88,7 +88,7 @@
         self._send = send
         self._documents: deque[DocumentFactory] = deque()
         self._unsent = EMPTY
-        """Unsent rest of the current document."""
+        """Unsent part of the current document."""
 
         self._unconfirmed = 0
         self._received: list[bytes] = []
--- a/swiftpin/fleet/link.py
+++ b/swiftpin/fleet/link.py
@@ -74,11 +74,13 @@
         """Incarnation of the other side, empty until its `Hello` arrives."""
 
         self.peer = ""
+        """Address of the other side, empty until it is known."""
+
         self.cpu_capacity = 1.0
         self.heartbeat: Item | None = None
         self.vote_expires_at = 0.0
-        """Time on the lease holder's clock until which the other side won't take the
-        lease."""
+        """Time on the lease holder's clock until which the other side won't acquire
+        the lease."""
 
         self.last_received_at = now
         self.last_fragment_at = 0.0
--- a/swiftpin/fleet/links.py
+++ b/swiftpin/fleet/links.py
@@ -135,10 +135,10 @@
         try:
             await link.async_run(stream)
         except LINK_ERRORS as err:
-            self._report_lost(link, "error", repr(err))
+            self._report_lost_link(link, "error", repr(err))
         else:
             reason = "silent" if link.is_timed_out else "ended"
-            self._report_lost(link, reason, reason)
+            self._report_lost_link(link, reason, reason)
         finally:
             # Also when this instance closes the link: requests pending on it would
             # otherwise wait until they time out.
@@ -171,7 +171,7 @@
         )
 
     @callback
-    def _report_lost(self, link: PeerLink, reason: str, detail: str) -> None:
+    def _report_lost_link(self, link: PeerLink, reason: str, detail: str) -> None:
         """Count and log a lost link."""
         self.traffic.count_lost_link(reason)
         log_message(
--- a/swiftpin/helpers/log_volume.py
+++ b/swiftpin/helpers/log_volume.py
@@ -15,5 +15,5 @@
 
 
 ROUTER_LOG_VOLUME: Final = LogVolume(lines=3_000, bytes=1_500_000)
-"""Sufficient per second for 400 lines of served and 2,000 lines of failed requests,
+"""Enough per second for 400 lines of served and 2,000 lines of failed requests,
 about 500 bytes each, and a burst of lines on targets, moves and dependencies."""
--- a/swiftpin/helpers/logging_writer.py
+++ b/swiftpin/helpers/logging_writer.py
@@ -30,7 +30,7 @@
     """Bounded queue of lines that a thread writes to a stream.
 
     Writing in the event loop would block the instance, heartbeats included, whenever
-    the reader of a pipe stalls, and leases would lapse. `dropped` counts the lines
+    the reader of a pipe stalls, and leases would expire. `dropped` counts the lines
     discarded because the queue was full, `over_volume` those above the volume per
     second; a log line reports both counts.
     """
--- a/swiftpin/keyranges/assignment_record.py
+++ b/swiftpin/keyranges/assignment_record.py
@@ -134,7 +134,8 @@
         """Return whether a record is this assigner's, or from before a restore.
 
         The assigner runs only while its instance holds the lease, which no other
-        instance takes soon after a restore. Any other record belongs to a later holder.
+        instance acquires soon after a restore. Any other record belongs to a later
+        holder.
         """
         if not isinstance(content, dict):
             return False
--- a/swiftpin/keyranges/const.py
+++ b/swiftpin/keyranges/const.py
@@ -13,7 +13,8 @@
 
 LEASE_TIME: Final = 1.6
 """Seconds for which a lease is valid after it was written. Short enough for another
-instance to take over before the targets' grants expire; four renewals fit in."""
+instance to take over before the targets' grants expire, and long enough for four
+renewals."""
 
 LEASE_RENEW_INTERVAL: Final = 0.4
 """Seconds between two renewals of the lease."""
@@ -32,8 +33,8 @@
 0.4 s."""
 
 VOTE_DURATION: Final = 2.0
-"""Seconds after a vote during which a member doesn't take the lease. Several heartbeats
-fit in."""
+"""Seconds after a vote during which a member doesn't acquire the lease. Long enough for
+several heartbeats."""
 
 EXTENSION_LIMIT: Final = 10.0
 """Maximum seconds for which votes extend an expired lease. A candidate that is not a
@@ -49,8 +50,8 @@
 HOLD_BEYOND_RENEWAL: Final = 3.4
 """Seconds by which a grant outlasts the renewal interval. More than the sum of
 `LEASE_TIME`, the candidates' wait and their polls, so that a new assigner renews grants
-in time. Not much more: the keys of a target that stops answering are not served until
-its grant has expired."""
+in time. It must not be much more: the keys of a target that stops answering are not
+served until its grant has expired."""
 
 MIN_REGULAR_HOLD: Final = MIN_RENEW_INTERVAL + HOLD_BEYOND_RENEWAL
 """Duration of a grant in small services, in seconds."""
--- a/swiftpin/keyranges/election_rules.py
+++ b/swiftpin/keyranges/election_rules.py
@@ -39,7 +39,7 @@
 record."""
 
 ELECTION_DELAY_PER_RANK: Final = 0.03
-"""Seconds for each stronger member: a read and a write of the store."""
+"""Seconds of delay per stronger member, which needs a read and a write of the store."""
 
 MAX_DETECTION_TIME: Final = RELAXED_POLL_INTERVAL + 1.2 * POLL_INTERVAL
 """Seconds within which a member notices that the lease is free and polls once more."""
@@ -50,22 +50,22 @@
     """What an instance knows about the lease; times are suspend-aware."""
 
     record: LeaseRecord | None
-    """The record last read, None before there is one."""
+    """The last record read, None before the first one."""
 
     era: int
     """Newest known store era."""
 
     may_have_lost_record: bool
-    """Whether the store may have lost a record that was there."""
+    """Whether the store may have lost an existing record."""
 
     resigned_term: int
     """Last term in which a holder is known to have stopped assigning keys."""
 
     unchanged_since: float
-    """Since when the record has not changed, or has been missing."""
+    """Time since which the record has been unchanged or missing."""
 
     own_vote_until: float
-    """Until when this instance has voted not to take over."""
+    """Time until which this instance has voted not to acquire the lease."""
 
 
 @callback
@@ -86,8 +86,8 @@
     if record is None:
         return True
     if record.holder.partition("/")[0] == name:
-        # Held by an earlier incarnation, which has ended, or by this one, whose lease
-        # has expired without another instance taking it.
+        # Held by an earlier incarnation, now terminated, or by this one, whose lease
+        # has expired without another instance acquiring it.
         return True
     if _was_given_up(record, view.resigned_term):
         return True
@@ -121,7 +121,7 @@
 
 @callback
 def election_delay(view: LeaseView, name: str, cpu_capacity: float) -> float:
-    """Return the seconds for which a free lease is left to stronger instances.
+    """Return the seconds for which stronger instances may acquire a free lease first.
 
     Assigning keys to hundreds of targets takes most of a core. The record lists its
     members strongest first; without a record, the delay depends on the instance's own
--- a/swiftpin/keyranges/granter.py
+++ b/swiftpin/keyranges/granter.py
@@ -188,8 +188,8 @@
         """Mark the target as gone if another target now answers at its address.
 
         A target of another service may reject grants without identifying itself. Its
-        health endpoint shows that the intended target is gone, so that the keys need
-        not wait for its grants to expire.
+        health endpoint shows that the intended target is gone, so that the keys can
+        be granted to others before its grants expire.
         """
         found_name = await self._control.async_identify(
             target.address, self._health_path, limit=CONTROL_TIMEOUT
--- a/swiftpin/keyranges/key_map.py
+++ b/swiftpin/keyranges/key_map.py
@@ -1,4 +1,4 @@
-"""Map from keys to the targets that serve them, by which the instances route."""
+"""Map from keys to the targets that serve them, used to route requests."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OwnerChange:
-    """A new owner of keys `first` to `last`, both included; empty for none."""
+    """New owner of the keys `first` to `last`, inclusive; empty if there is none."""
 
     first: int
     last: int
--- a/swiftpin/keyranges/lease_election.py
+++ b/swiftpin/keyranges/lease_election.py
@@ -47,9 +47,10 @@
     assign keys at the same time, even if one was suspended or partitioned.
 
     While the store is unavailable to all instances, the holder continues for as long as
-    every member in the record votes not to take the lease (`extended_until`), up to a
-    limit. An instance that is not a member waits beyond that limit. Without votes, all
-    keys would become unserved in every store outage that outlasts the targets' grants.
+    every member in the record votes not to acquire the lease (`extended_until`), up to
+    a limit. An instance that is not a member waits beyond that limit. Without votes,
+    all keys would become unserved in every store outage that outlasts the targets'
+    grants.
     """
 
     def __init__(
@@ -73,7 +74,7 @@
         """Time until which the votes of all members extend this holder's lease."""
 
         self.own_vote_until = 0.0
-        """Until when this instance has voted not to take over."""
+        """Time until which this instance has voted not to acquire the lease."""
 
         self.resigned_term = 0
         """Last term in which a holder is known to have stopped assigning keys."""
@@ -141,7 +142,7 @@
     def is_held(self, now: float) -> bool:
         """Return whether this instance may assign keys at the given time.
 
-        A lease that has expired stays so for its term, even if a late vote or the
+        A lease that has expired stays expired for its term, even if a late vote or the
         answer to a renewal arrives: other instances may have been notified that its
         holder stopped, and may take over without waiting.
         """
@@ -185,14 +186,17 @@
             self._health.record_failure(str(err), suspend_aware_now())
 
     async def async_give_up(self) -> None:
-        """Let another instance take over at once; grants stay valid until they end."""
+        """Give up the lease so that another instance can acquire it immediately.
+
+        Grants stay valid until they expire.
+        """
         self.is_standing_down = True
         record = self.record
         if record is None or not self.is_held(suspend_aware_now()):
             return
         self._lapsed_term = self._held_term
         log_message(message_type="lease_given_up", term=self.term)
-        released = LeaseRecord(
+        final_record = LeaseRecord(
             holder="",
             peer="",
             term=self.term,
@@ -201,7 +205,7 @@
             members=record.members,
         )
         try:
-            await self._store.async_write_final(released)
+            await self._store.async_write_final(final_record)
         except StoreError as err:
             # The next holder then has to wait until the lease has expired.
             log_message(message_type="lease_not_freed", level="warning", error=str(err))
--- a/swiftpin/keyranges/lease_store.py
+++ b/swiftpin/keyranges/lease_store.py
@@ -102,7 +102,7 @@
             self.unchanged_since = now
             self._note_record(record)
         else:
-            # No attempt had been applied by then.
+            # No attempt had been applied when this read was sent.
             self._attempted_at = max(self._attempted_at, requested_at)
 
     async def async_write(self, record: LeaseRecord) -> LeaseWriteOutcome:
@@ -149,9 +149,9 @@
         """Read the record back after a lost answer or a conflict.
 
         If the answer to a write was lost, the next attempt may conflict with its
-        effect; only the record itself shows which. The record may result from the
-        first of several equal attempts, and candidates may measure the lease's age from
-        then. So the lease counts from the first attempt too.
+        effect; only the record itself shows whether it did. The record may result from
+        the first of several equal attempts, and candidates may measure the lease's age
+        from then. So its duration is counted from the first attempt.
         """
         log_message(message_type="lease_unsettled", reason=reason, term=record.term)
         try:
@@ -163,8 +163,8 @@
         is_restored_copy = self.was_restored if found is None else found.era < self.era
         if is_restored_copy:
             # The restored store may have lost this instance's record. No other instance
-            # takes the lease while it is valid: after a restore, all wait until every
-            # lease that the store may have lost has expired.
+            # acquires the lease while it is valid: after a restore, all wait until
+            # every lease that the store may have lost has expired.
             return LeaseWriteOutcome.UNKNOWN
         if found is None or found.holder != record.holder or found.term > record.term:
             return LeaseWriteOutcome.HELD_BY_OTHER
--- a/swiftpin/keyranges/mover.py
+++ b/swiftpin/keyranges/mover.py
@@ -35,13 +35,13 @@
     grants have expired, or when another target answers at its address. A refused
     connection is no proof: a target at its connection limit refuses, and so may a
     broken link, while other instances still reach the target. Nor is an entry in the
-    store: an entry from another writer may name any address.
+    store: another writer may create one with any address.
 
     A later life of the former owner proves that the earlier one has terminated, but it
     may hold the keys itself: grants under new fences go to whichever process answers
-    under the name, and may have reached the later life before its start was known
-    here. So the release is sent to the later life. Its answer proves that neither life
-    holds the keys, and is immediate if the later life holds none.
+    under the name, and may have reached the later life before this instance knew of
+    its start. So the release is sent to the later life. Its answer proves that neither
+    life holds the keys, and is immediate if the later life holds none.
     """
 
     def __init__(
@@ -120,7 +120,7 @@
         """Return whether a target's entry has the same address as another target.
 
         An answer at a later life's address proves nothing about the address of the
-        earlier one: an entry from another writer may name any address.
+        earlier one: another writer may create an entry with any address.
         """
         target = self._directory.targets_by_id.get(target_id)
         return target is not None and target.address == other.address
--- a/swiftpin/keyranges/plan_hot_keys.py
+++ b/swiftpin/keyranges/plan_hot_keys.py
@@ -47,7 +47,7 @@
         if share.utilization <= 1:
             break
         if not share.keys:
-            # Its entire load is planned: keys of lost targets that will move to it.
+            # All its load is planned: from keys of lost targets that will move to it.
             continue
         key = max(share.keys, key=rates_by_key.__getitem__)
         rate = rates_by_key[key]
--- a/swiftpin/keyranges/target_session.py
+++ b/swiftpin/keyranges/target_session.py
@@ -30,12 +30,12 @@
 class TargetSession:
     """Tracks one target's answers and the time until which it may hold keys.
 
-    A target that was restarted under its name answers calls that were meant for its
-    earlier life. It would accept a renewal, since it has seen no fence. Two lives would
-    then hold the same keys under the same fence, and a delayed grant for the earlier
-    life would be as valid as one for the new life. A connection leads to one life only,
-    so each fence is sent over one connection only: a target behind a new connection
-    gets a fence above all earlier ones.
+    A target that was restarted under the same name answers calls that were meant for
+    its earlier life. It would also accept a renewal, since it has not seen any fence.
+    Both lives would then hold the same keys under the same fence, and a delayed grant
+    for the earlier life would be as valid as one for the new life. A connection reaches
+    only one life, so each fence is sent over only one connection: calls over a new
+    connection use a fence above all earlier ones.
     """
 
     def __init__(self) -> None:
--- a/swiftpin/model/route.py
+++ b/swiftpin/model/route.py
@@ -37,4 +37,4 @@
     """Maximum number of targets to which one request may be sent."""
 
     weighted_services: tuple[WeightedService, ...]
-    """Services among which the requests are split; only one without a split."""
+    """Services among which the requests are split; just one if there is no split."""
--- a/swiftpin/platform/settings.py
+++ b/swiftpin/platform/settings.py
@@ -38,7 +38,7 @@
 
 def _decode_settings(document: Any) -> InstanceSettings:  # noqa: ANN401  # any JSON
     """Decode a settings document."""
-    own = document["self"]
+    instance = document["self"]
     network = document["network"]
     platform = document["platform"]
     listen = network["listen"]
@@ -48,20 +48,20 @@
         f"{seed.rpartition(':')[0]}:{peer_port}" for seed in network.get("seeds") or ()
     )
     return InstanceSettings(
-        name=own["node"],
-        zone=own["zone"],
+        name=instance["node"],
+        zone=instance["zone"],
         caller_address=parse_address(listen["front"]),
         readiness_address=parse_address(listen["ready"]),
-        peer_address=parse_address(f"{own['ip']}:{peer_port}"),
+        peer_address=parse_address(f"{instance['ip']}:{peer_port}"),
         seeds=seeds,
         store_address=parse_address(platform["platform"]["address"]),
         bounds=_decode_bounds(document["terms"]["bounds"]),
         target_heartbeat=platform["heartbeat_ms"] / MILLISECONDS_PER_SECOND,
         # `cores` is the speed of a core relative to the reference core; the process may
         # use only `cpu_share` of it.
-        cpu_capacity=own["limits"]["cpu_share"] * own["limits"]["cores"],
-        bandwidth=own["limits"].get("link_mbps", 0.0) * BYTES_PER_MEGABIT,
-        first_start=bool(own["bootstrap"]),
+        cpu_capacity=instance["limits"]["cpu_share"] * instance["limits"]["cores"],
+        bandwidth=instance["limits"].get("link_mbps", 0.0) * BYTES_PER_MEGABIT,
+        first_start=bool(instance["bootstrap"]),
     )
 
 
--- a/swiftpin/platform/store_client.py
+++ b/swiftpin/platform/store_client.py
@@ -79,10 +79,10 @@
     async def async_list(self, kind: str) -> ObjectList:
         """Return all objects of a kind and the revision from which to watch them."""
         objects: list[PlatformObject] = []
-        after = ""
+        last_name = ""
         first_revision: int | None = None
         for _ in range(MAX_LIST_PAGES):
-            query = f"?after={quote(after, safe='')}" if after else ""
+            query = f"?after={quote(last_name, safe='')}" if last_name else ""
             page = decode_list(*await self._async_read(f"{kind}{query}"))
             if self.era.is_outdated(first_revision):
                 raise StoreUnavailableError(
@@ -95,7 +95,7 @@
                 first_revision = page.revision
             if not page.has_more or not page.objects:
                 break
-            after = _next_name(page, after)
+            last_name = _last_name(page, last_name)
         return ObjectList(
             objects=tuple(objects), revision=first_revision or 0, has_more=False
         )
@@ -250,14 +250,14 @@
         return answer.status, body, era
 
 
-def _next_name(page: ObjectList, after: str) -> str:
+def _last_name(page: ObjectList, previous_last_name: str) -> str:
     """Return the name after which the next page starts.
 
     Without a name the rest of the list can't be read; a partial list must not be used,
     because all missing objects would count as deleted.
     """
-    names = [found.name for found in page.objects if found.name]
-    if not names or names[-1] <= after:
+    names = [listed.name for listed in page.objects if listed.name]
+    if not names or names[-1] <= previous_last_name:
         raise StoreUnavailableError("the page has no name to continue from")
     return names[-1]
 
--- a/swiftpin/platform/target_control.py
+++ b/swiftpin/platform/target_control.py
@@ -176,7 +176,7 @@
                     )
                 )
         except (RequestNotSentError, AnswerBrokenError, TimeoutError):
-            # The caller keeps its state and asks again.
+            # The caller keeps its state and calls again later.
             return None
         return answer.headers.get(HEADER_INSTANCE)
 
--- a/tests/fleet/test_document_channel.py
+++ b/tests/fleet/test_document_channel.py
@@ -65,7 +65,7 @@
 
 
 def test_unconfirmed_fragments_per_link_are_limited() -> None:
-    """Guards against heartbeats delayed by a whole queued document."""
+    """Guards against heartbeats delayed by an entire queued document."""
     sender = LinkEnd()
     sender.channel.add(lambda: make_item(50 * FRAGMENT_SIZE))
     assert len(sender.sent) == MAX_UNCONFIRMED_FRAGMENTS
--- a/tests/helpers/test_logging.py
+++ b/tests/helpers/test_logging.py
@@ -53,11 +53,11 @@
 
 @pytest.fixture
 def setup(stream: Stream) -> Iterator[LoggingSetup]:
-    """Yield logging that writes to the stream."""
-    started = LoggingSetup(stream, "info")
-    started.setup()
-    yield started
-    started.unload()
+    """Yield a logging setup that writes to the stream."""
+    logging_setup = LoggingSetup(stream, "info")
+    logging_setup.setup()
+    yield logging_setup
+    logging_setup.unload()
 
 
 @pytest.mark.parametrize(
--- a/tests/keyranges/test_assignment.py
+++ b/tests/keyranges/test_assignment.py
@@ -86,7 +86,7 @@
 
 
 def test_record_contains_the_longest_grant(assignment: Assignment) -> None:
-    """A successor reads how long to wait; records of older versions don't say so."""
+    """A successor reads how long to wait; records of older versions lack this."""
     with_hold = replace(assignment, max_hold=5.9)
     assert decode_assignment(encode_assignment(with_hold)) == with_hold
     assert decode_assignment(encode_assignment(assignment)).max_hold is None
@@ -95,7 +95,7 @@
 def test_every_change_keeps_the_longest_grant(assignment: Assignment) -> None:
     """A successor must not wait too briefly after a plan was recorded.
 
-    The changed assignment used to drop the recorded duration of the longest grant.
+    The changed assignment must keep the recorded duration of the longest grant.
     """
     with_hold = replace(assignment, max_hold=5.9)
     moved = with_hold.with_moves([Move(first=0, last=0, source="a", to="c")], 9)
@@ -110,8 +110,8 @@
 ) -> None:
     """A key must not stay without an owner forever.
 
-    A move finished while a plan that still contained it was being recorded. The plan
-    used to replace the newer state.
+    A move may finish while a plan that still contains it is being recorded. The plan
+    must not replace the newer state.
     """
     moving = assignment.with_moves([Move(first=0, last=9, source="a", to="c")], 50)
     planned = moving.with_moves([Move(first=20, last=29, source="a", to="b")], 60)
--- a/tests/keyranges/test_assignment_loader.py
+++ b/tests/keyranges/test_assignment_loader.py
@@ -109,9 +109,9 @@
 ) -> None:
     """Two targets must not hold the same keys after a takeover.
 
-    The previous assigner sent long grants and then merged many segments into a few. Its
-    successor used to derive the duration of the grants from the number of segments, so
-    it considered them expired too early.
+    The previous assigner sends long grants and then merges many segments into a few. A
+    successor that derived the duration of the grants from the number of segments would
+    consider them expired too early.
     """
     record.assignment = Assignment(
         segments=(
--- a/tests/keyranges/test_assignment_state.py
+++ b/tests/keyranges/test_assignment_state.py
@@ -32,7 +32,7 @@
 def test_split_segment_counts_as_changed(state: AssignmentState) -> None:
     """Two targets must not hold the same keys.
 
-    Part of a segment was moved away just before a renewal of the segment was sent. The
+    If part of a segment is moved away just before a renewal of the segment is sent, the
     renewal would grant that part again.
     """
     before = state.current.segments[0]
--- a/tests/keyranges/test_election_rules.py
+++ b/tests/keyranges/test_election_rules.py
@@ -39,7 +39,7 @@
 
 
 def test_non_member_waits_for_votes_to_expire() -> None:
-    """It isn't asked for votes, so a holder may continue without its knowledge."""
+    """Votes of others may extend a lease without a non-member's knowledge."""
     assert not is_free(VIEW, "other", EXPIRED_AT)
     assert is_free(VIEW, "other", EXPIRED_AT + EXTENSION_LIMIT)
 
@@ -52,7 +52,7 @@
 
 @pytest.mark.parametrize("name", ["second", "other"])
 def test_lease_that_was_given_up_is_free_at_once(name: str) -> None:
-    """Its holder has stopped assigning keys, whatever the record says."""
+    """The holder has stopped assigning keys, even if the record still names it."""
     assert is_free(GIVEN_UP, name, 100.0)
 
 
@@ -80,7 +80,7 @@
 
 
 def test_read_rate_of_a_lost_lease_is_limited_in_large_fleets() -> None:
-    """Otherwise a large fleet reads a lost lease four times per second and instance."""
+    """Guards against four reads per second by each instance of a large fleet."""
     assert poll_interval(VIEW, "second", 1.0, has_live_links=True) == POLL_INTERVAL
     assert 300 / poll_interval(VIEW, "other", 1.0, has_live_links=True) < 200
     assert poll_interval(VIEW, "other", 1.0, has_live_links=False) < 1.0
@@ -112,7 +112,7 @@
 
 
 def test_terms_of_later_eras_are_higher() -> None:
-    """Otherwise targets refuse the fences of a holder that read a restored record."""
+    """Guards against fences that targets refuse after the store was restored."""
     assert next_term(7, 0) == 8
     assert next_term(7, 1) > next_term(500, 0)
     assert next_term(next_term(7, 1), 1) == next_term(7, 1) + 1
--- a/tests/keyranges/test_fences.py
+++ b/tests/keyranges/test_fences.py
@@ -8,8 +8,8 @@
 def test_restarted_assigner_reuses_no_fence() -> None:
     """A target must not accept keys under a fence lower than another target's.
 
-    The assigner of a service's keys was restarted in the same term, and each assigner
-    used to count its fences from the start of the term.
+    The assigner of a service's keys may be restarted in the same term. The new assigner
+    must not count its fences from the start of the term again.
     """
     fences = Fences()
     fences.begin_term(3)
@@ -31,8 +31,8 @@
 def test_next_term_is_requested_before_fences_run_out() -> None:
     """Targets must not refuse the grants of a successor.
 
-    A lease holder used more fences than a term has, so its successor's fences were
-    lower. Nothing used to detect that a term's fences run out.
+    If a lease holder used more fences than a term has, its successor's fences would be
+    lower.
     """
     fences = Fences()
     fences.begin_term(3)
--- a/tests/keyranges/test_hold_times.py
+++ b/tests/keyranges/test_hold_times.py
@@ -29,9 +29,9 @@
 ) -> None:
     """Two targets must not hold the same keys after a takeover.
 
-    A service had many segments and so the longest grants. They were merged into a few,
-    and the assigner ended right away. Its successor used to derive the duration of the
-    grants from the few segments it found, so it waited too briefly.
+    A service has many segments and thus the longest grants. They are merged into a few,
+    and the assigner terminates immediately. A successor that derived the duration of
+    the grants from the remaining segments would not wait long enough.
     """
     now = 100.0
     granted_hold = limit.next_hold(MANY_SEGMENTS, MAX_REGULAR_HOLD, now)
--- a/tests/keyranges/test_key_map_publisher.py
+++ b/tests/keyranges/test_key_map_publisher.py
@@ -51,8 +51,8 @@
 async def test_maps_of_a_restarted_assigner_are_newer() -> None:
     """Requests must not be sent to targets whose keys have moved.
 
-    The assigner of a service failed and was restarted in the same term. It used to
-    number its maps from 1 again, so all instances ignored them for minutes.
+    The assigner of a service may fail and be restarted in the same term. If it numbered
+    its maps from 1 again, all instances would ignore them for minutes.
     """
     maps: list[KeyMap] = []
     fences = Fences()
--- a/tests/keyranges/test_late_records.py
+++ b/tests/keyranges/test_late_records.py
@@ -196,11 +196,11 @@
 ) -> None:
     """A key must not be granted under a fence below that of its previous owner.
 
-    The first assigner gave up on writing a plan without an answer. The second one read
-    the record and granted the owner its keys under its own fence, which isn't recorded.
-    Then the store applied the plan, because a takeover used to leave the record at the
-    revision that late writes expect. A third assigner read the plan and moved the keys
-    under the first term's fence.
+    The first assigner's write of a plan gets no answer. The second one reads the record
+    and grants the owner its keys under its own fence, which isn't recorded. If this
+    takeover left the record at the revision that late writes expect, the store would
+    then apply the plan, and a third assigner would read it and move the keys under the
+    first term's fence.
     """
     plan(MOVE)
     first = await async_take_over(1, store, targets, directory)
@@ -223,10 +223,10 @@
 ) -> None:
     """A key must not be granted under a fence below that of its previous owner.
 
-    An assigner gave up on writing a plan without an answer. The owner refused a renewal
-    and was granted its keys under a higher fence. Then the store applied the plan, and
-    the next assigner moved the keys under the fence in the plan, because moves used to
-    keep the fence of the term in which they were planned.
+    An assigner's write of a plan gets no answer. The owner refuses a renewal and is
+    granted its keys under a higher fence. Then the store applies the plan. If moves
+    kept the fence of the term in which they were planned, the next assigner would move
+    the keys under the lower fence in the plan.
     """
     plan(MOVE)
     first = await async_take_over(1, store, targets, directory)
@@ -248,11 +248,10 @@
 ) -> None:
     """Two targets must not hold the same keys.
 
-    An assigner gave up on writing two plans without an answer. The store applied the
-    first one, and a successor moved the keys without writing the record itself. Then
-    the store applied the second plan, which didn't include that move, because a
-    takeover used to leave the record at the revision that late writes expect. A third
-    assigner renewed the grant of the former owner.
+    An assigner's writes of two plans get no answer. The store applies the first one,
+    and a successor moves the keys. If its takeover left the record at the revision that
+    late writes expect, the store would then apply the second plan, which doesn't
+    include that move, and a third assigner would renew the former owner's grant.
     """
     plan(MOVE)
     first = await async_take_over(1, store, targets, directory)
@@ -277,10 +276,10 @@
 ) -> None:
     """A key must not be granted while its previous owner still works on it.
 
-    An assigner was killed right after it had sent a release. The kernel delivered it
-    for another 0.6 s, and requests for the keys arrived until then. The successor's own
-    release found no keys and was answered at once. The wait for the running requests
-    used to start at the takeover.
+    An assigner is killed right after it has sent a release. The kernel may still
+    deliver it for 0.6 s, and requests for the keys arrive until then. The successor's
+    own release finds no keys and is answered immediately. The wait for the running
+    requests must not start at the takeover.
     """
     moved = Segment(first=0, last=99, owner="b", fence=7, former_owner="a")
     store = LateStore(Assignment(segments=(moved, OTHER_KEYS)))
--- a/tests/keyranges/test_late_renewals.py
+++ b/tests/keyranges/test_late_renewals.py
@@ -93,7 +93,7 @@
     """Guards against two instances that assign keys at the same time.
 
     A renewal is written, but its answer and the following read are lost. When it is
-    sent again, it conflicts with its own earlier write. Candidates saw the lease change
+    sent again, it conflicts with its own earlier write. Candidates see the lease change
     at the first write, so its duration must be counted from there.
     """
     now = 100.0
--- a/tests/keyranges/test_lease_election.py
+++ b/tests/keyranges/test_lease_election.py
@@ -156,8 +156,8 @@
 async def test_suspended_holder_does_not_assign(store: FakeStore, clock: Clock) -> None:
     """Two instances must not assign keys at the same time.
 
-    The holder was suspended for longer than its lease, and another instance took over.
-    When the holder resumed, it used to rely on a clock that doesn't count suspensions.
+    A holder is suspended for longer than its lease, and another instance takes over.
+    When the holder resumes, it must not rely on a clock that stops during suspensions.
     """
     holder = make_election(store, "a")
     await async_step(holder, clock)
@@ -170,8 +170,8 @@
 ) -> None:
     """A holder must not give up a lease that it has renewed.
 
-    A renewal was written, but its answer was lost. The next attempt met a conflict,
-    which used to be mistaken for another holder.
+    A renewal is written, but its answer is lost. The next attempt meets a conflict,
+    which must not be mistaken for another holder.
     """
     holder = make_election(store, "a")
     await async_step(holder, clock)
@@ -187,9 +187,8 @@
 ) -> None:
     """Keys must not lose their owners during a store outage.
 
-    The store was unavailable for longer than the lease and the grants last together.
-    The holder used to stop renewing grants, although no other instance could acquire
-    the lease.
+    The store is unavailable for longer than the lease and the grants last together. The
+    holder must continue to renew grants, since no other instance can acquire the lease.
     """
     holder = make_election(store, "a")
     await async_step(holder, clock)
@@ -221,10 +220,9 @@
 ) -> None:
     """Keys must not be granted under fences that other targets had before.
 
-    The store rejected the holder's calls; its lease expired and its assigner stopped.
-    When votes arrived later, the lease used to count as valid again, although others
-    knew that it had expired. A new assigner started in the same term with the same
-    fences.
+    The store rejects the holder's calls; its lease expires and its assigner stops. If
+    votes that arrive later made the lease valid again, although others know that it has
+    expired, a new assigner would start in the same term with the same fences.
     """
     holder = make_election(store, "a")
     await async_step(holder, clock)
@@ -282,8 +280,8 @@
 ) -> None:
     """A new member must not take over from a holder that relies on votes.
 
-    A renewal listed the new member, but its answer was lost and the store became
-    unavailable. Only members of answered renewals used to be asked to vote.
+    A renewal lists the new member, but its answer is lost and the store becomes
+    unavailable. Members in unanswered renewals must be asked to vote too.
     """
     holder = make_election(store, "a")
     await async_step(holder, clock)
@@ -310,12 +308,11 @@
 ) -> None:
     """Weak instances must not acquire the lease one after the other.
 
-    A holder resigned. Of 88 instances, one of the 72 that aren't members in the record
-    polled first and acquired the lease. It was overloaded and resigned in turn, and so
-    on: for 14 s, weak instances assigned keys for 2 s each, although 8 instances that
-    were five times as strong were available. The holders of terms 2 to 8 were all
-    non-members. Members were delayed by their rank, but non-members used to have no
-    delay.
+    Without a delay for instances that aren't members in the record, one of them polls
+    first after a holder resigned, acquires the lease, is overloaded and resigns too. In
+    a fleet of 88 instances, 72 of them non-members, weak instances held the lease for
+    2 s each during 14 s (terms 2 to 8), although 8 instances that were five times as
+    strong were available.
     """
     holder = make_election(store, "a")
     listed_member, non_member = make_election(store, "b"), make_election(store, "new")
@@ -392,9 +389,9 @@
 ) -> None:
     """A holder must not give up its own lease.
 
-    Its renewal under the next term met a conflict with its own earlier renewal, whose
-    answer had been lost. The recorded term differed from the written one, which used to
-    be mistaken for another holder's record.
+    Its renewal under the next term conflicts with its own earlier renewal, whose answer
+    was lost. The recorded term differs from the written one, but the record must not be
+    mistaken for another holder's.
     """
     holder = make_election(store, "a")
     await async_step(holder, clock)
@@ -430,7 +427,7 @@
 async def test_candidate_polls_again_when_its_delay_is_over(
     store: FakeStore, clock: Clock
 ) -> None:
-    """A free lease must not stay unused for a whole poll interval."""
+    """A free lease must not stay unused for a full poll interval."""
     holder = make_election(store, "z")
     holder.members = ("z", "y", "a")
     await async_step(holder, clock)
--- a/tests/keyranges/test_mover.py
+++ b/tests/keyranges/test_mover.py
@@ -140,7 +140,7 @@
 async def test_another_target_at_the_address_frees_keys_immediately(
     mover: Mover, control: ReleaseControl, session: TargetSession
 ) -> None:
-    """If another target answers at its address, a target no longer runs."""
+    """A target is known to have terminated once another answers at its address."""
     control.make_error = lambda: TargetReplacedError("c answers at a:1")
     assert await mover.async_release_former_owner(SEGMENT, None) is None
     assert control.releases == 1
--- a/tests/keyranges/test_range_assigner.py
+++ b/tests/keyranges/test_range_assigner.py
@@ -122,9 +122,9 @@
 ) -> None:
     """A key must not be granted under a fence below that of its previous owner.
 
-    A move was planned and its fence allocated. While the record was being written, the
-    owner refused a renewal, because an earlier assigner had used a higher fence, and
-    was granted its keys under a newly allocated fence. The move used to keep its older,
+    A move is planned and its fence allocated. While the record is being written, the
+    owner refuses a renewal, because an earlier assigner used a higher fence, and is
+    granted its keys under a newly allocated fence. The move must not keep its older,
     lower fence.
     """
     move = Move(first=0, last=99, source="a", to="b")
@@ -162,9 +162,9 @@
 ) -> None:
     """Keys of a restarted target must not stay unserved until its old grants expire.
 
-    A target restarted, and a plan moved its keys to its new life. They were released
-    there first, because the target that answers to the name used to be mistaken for the
-    recorded life or wasn't identified at all.
+    A target restarts, and a plan moves its keys to its new life. The new life, which
+    answers under the same name, must be asked to release the keys and must not be
+    mistaken for the recorded life.
     """
     directory = assigner._directory
     former = directory.targets_by_id.pop("a")
@@ -194,9 +194,9 @@
 ) -> None:
     """Keys must not lose their owners after a store outage.
 
-    The assigner ended during the outage and restarted at its end. Its first list of
-    targets lacked those whose entries had expired. It used to plan moves of their keys,
-    and most keys had no owner for 5 s.
+    The assigner stops during the outage and restarts at its end. Its first list of
+    targets lacks those whose entries have expired. Planning moves of their keys would
+    leave most keys without an owner for 5 s.
     """
     directory = assigner._directory
     directory.adopt_list((), 5, 10.0)
--- a/tests/keyranges/test_restored_assignment.py
+++ b/tests/keyranges/test_restored_assignment.py
@@ -112,7 +112,7 @@
 
 
 async def test_record_of_a_later_assigner_is_never_replaced(store: Store) -> None:
-    """Otherwise two assigners would overwrite each other's records."""
+    """Guards against two assigners that overwrite each other's records."""
     former = make_record(store)
     await former.async_create(make_assignment("first"))
     store.restore(store.content)
--- a/tests/keyranges/test_restored_lease.py
+++ b/tests/keyranges/test_restored_lease.py
@@ -165,7 +165,7 @@
 async def test_holder_missing_from_the_backup_keeps_the_lease(
     store: Store, clock: Clock
 ) -> None:
-    """Otherwise the holder yields to a restored record, and nobody assigns keys."""
+    """Guards against a holder that gives up its lease because of a restored record."""
     first, second, lost_writes = await hand_over(store, clock)
     store.restore(lost_writes)
     for _ in range(3):
@@ -181,7 +181,7 @@
 async def test_terms_after_a_restore_are_above_all_earlier_ones(
     store: Store, clock: Clock
 ) -> None:
-    """Otherwise targets refuse the next holder's grants, as its fences are too low."""
+    """Guards against a holder with low fences, whose grants targets refuse."""
     _, second, lost_writes = await hand_over(store, clock)
     store.restore(lost_writes)
     other = await start_and_wait(store, clock)
@@ -193,7 +193,10 @@
 async def test_holder_continues_in_its_term_after_a_restore(
     store: Store, clock: Clock
 ) -> None:
-    """In a new term, assigners would load a restored assignment that lacks a move."""
+    """Guards against a restored assignment that lacks a move.
+
+    Assigners would load it at the beginning of a new term.
+    """
     _, second, lost_writes = await hand_over(store, clock)
     before = second.term
     store.restore(lost_writes)
@@ -221,7 +224,7 @@
 async def test_lost_holder_is_replaced_once_its_lease_must_have_expired(
     store: Store, clock: Clock
 ) -> None:
-    """A restored record must not keep all instances from the lease forever."""
+    """A restored record must not prevent a new holder forever."""
     _, _, lost_writes = await hand_over(store, clock)
     store.restore(lost_writes)
     other = start(store, "c")[0]
@@ -239,7 +242,7 @@
 async def test_holder_does_not_reacquire_the_lease_from_a_later_era(
     store: Store, clock: Clock
 ) -> None:
-    """Two instances must not take the lease from each other after a restore."""
+    """Two instances must not alternately acquire the lease after a restore."""
     _, second, lost_writes = await hand_over(store, clock)
     store.restore(lost_writes)
     other = await start_and_wait(store, clock)
@@ -254,7 +257,7 @@
 async def test_at_most_one_holder_with_random_restores(
     store: Store, clock: Clock, seed: int
 ) -> None:
-    """Random restores, disconnections, restarts and stops lead to no second holder."""
+    """Restores, disconnections, restarts and stops never lead to two holders."""
     rng = Random(seed)
     lives = dict.fromkeys(NAMES, 1)
     running = {name: start(store, name) for name in NAMES}
