--- a/tests/router/test_fleet_retries.py
+++ b/tests/router/test_fleet_retries.py
@@ -125,7 +125,7 @@
 
 
 @pytest.mark.parametrize("rate", [14.0, 129.0, 430.0])
-def test_shorter_waits_do_not_add_retries(rate: float) -> None:
+def test_shorter_waits_bring_no_more_retries(rate: float) -> None:
     """Failure: retries that had waited were sent in addition to those of a window."""
     fleet = RetryFleet(INSTANCES, Load(rate=rate, permit_wait_range=(2.0, 2.5)), 1)
     fleet.schedule(12.5, lambda: setattr(fleet.load, "permit_wait_range", SHORT_WAITS))
--- a/tests/router/test_full_pipe.py
+++ b/tests/router/test_full_pipe.py
@@ -31,7 +31,7 @@
         os.close(reading)
 
 
-async def test_requests_are_served_while_the_log_is_not_read(
+async def test_requests_go_on_while_nobody_reads_the_log(
     site: Site, full_pipe: BinaryIO
 ) -> None:
     """Failure: an instance served nothing after the reader of its log had stopped.
--- a/tests/router/test_request_log.py
+++ b/tests/router/test_request_log.py
@@ -64,7 +64,7 @@
     assert sample(router, "swiftpin_router_retries_total", service="desk") == 1
 
 
-async def test_timeout_in_the_queue_is_logged_with_a_reason(
+async def test_request_whose_time_ends_in_the_queue_says_so(
     site: Site, logging: LoggingSetup, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Failure: four of ten refusals in an incident had no note and no reason.
--- a/tests/router/test_site.py
+++ b/tests/router/test_site.py
@@ -204,7 +204,7 @@
     assert seconds < MIN_REGULAR_HOLD * CLOCK_DRIFT_FACTOR + HOLD_MARGIN + 1.0
 
 
-async def test_target_address_reused_by_another_service(site: Site) -> None:
+async def test_address_that_another_service_took(site: Site) -> None:
     """Failure: thousands of control calls reached a target of another service.
 
     A target ended, and its address was reused by a target of an unkeyed service, which
@@ -220,7 +220,7 @@
     assert not newcomer.runs
 
 
-async def test_keys_of_a_silent_target_move_only_after_its_grants_expire(
+async def test_silent_target_is_waited_out(
     site: Site, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Failure: two targets held the same keys.
@@ -252,7 +252,7 @@
     await site.async_wait(moved)
 
 
-async def test_killed_leader_is_replaced_before_grants_expire(site: Site) -> None:
+async def test_leader_that_ends_is_replaced_before_grants_end(site: Site) -> None:
     """Failure: all keys lost their owners after one instance was killed.
 
     The instance that renews the grants was killed, and its successor took over only
