--- a/swiftpin/permits/permit_query.py
+++ b/swiftpin/permits/permit_query.py
@@ -10,7 +10,7 @@
 
 @callback
 def _always() -> bool:
-    """Return that the target is current, the default."""
+    """Return True, for queries without an ownership check."""
     return True
 
 
--- a/swiftpin/permits/slot_pace.py
+++ b/swiftpin/permits/slot_pace.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SlotPace:
-    """Expected availability of the slots that one queue waits for, in seconds."""
+    """Expected times until slots become free for one queue, in seconds."""
 
     free_in: float
     """Time until the next slot is free."""
--- a/swiftpin/permits/target_slots.py
+++ b/swiftpin/permits/target_slots.py
@@ -16,7 +16,7 @@
 """Weight of one observation in a mean: a slowdown shows after a few requests."""
 
 OVERDUE_REMAINING_SHARE: Final = 0.5
-"""Share of the mean hold time that an overdue request is assumed to need still: between
+"""Share of the mean hold time that an overdue request is still assumed to need: between
 0, for constant times, and 1, for exponentially distributed ones."""
 
 IDLE_SLOT_TOLERANCE: Final = 0.01
