--- a/swiftpin/helpers/line_rate_limiter.py
+++ b/swiftpin/helpers/line_rate_limiter.py
@@ -15,9 +15,9 @@
         self._max_lines = max_lines
         self._max_bytes = max_bytes
         self._second = 0
-        self._written = 0
-        self._bytes = 0
-        self._reported = 0
+        self._lines_this_second = 0
+        self._bytes_this_second = 0
+        self._reported_count = 0
 
     @callback
     def allow(self, now: float, size: int = 0, *, share: float = 1.0) -> bool:
@@ -29,21 +29,21 @@
         second = int(now)
         if second != self._second:
             self._second = second
-            self._written = 0
-            self._bytes = 0
+            self._lines_this_second = 0
+            self._bytes_this_second = 0
         if (
-            self._written + 1 > self._max_lines * share
-            or self._bytes + size > self._max_bytes * share
+            self._lines_this_second + 1 > self._max_lines * share
+            or self._bytes_this_second + size > self._max_bytes * share
         ):
             self.suppressed += 1
             return False
-        self._written += 1
-        self._bytes += size
+        self._lines_this_second += 1
+        self._bytes_this_second += size
         return True
 
     @callback
     def take_suppressed_count(self) -> int:
         """Return the number of lines suppressed since the last call."""
-        count = self.suppressed - self._reported
-        self._reported = self.suppressed
+        count = self.suppressed - self._reported_count
+        self._reported_count = self.suppressed
         return count
--- a/swiftpin/helpers/logging_format.py
+++ b/swiftpin/helpers/logging_format.py
@@ -15,7 +15,7 @@
 truncation loses little."""
 
 _PLAIN: Final = re.compile(r"[A-Za-z0-9_.,:;/@%+*()\[\]-]+")
-_MILLISECONDS: Final = 1000
+_MILLISECONDS_PER_SECOND: Final = 1000
 
 
 def format_value(value: object) -> str:
@@ -64,8 +64,8 @@
 
 def format_time(at: float) -> str:
     """Format a Unix time as UTC with milliseconds."""
-    milliseconds = int(at * _MILLISECONDS)
-    seconds, rest = divmod(milliseconds, _MILLISECONDS)
+    milliseconds = int(at * _MILLISECONDS_PER_SECOND)
+    seconds, rest = divmod(milliseconds, _MILLISECONDS_PER_SECOND)
     return f"{_format_second(seconds)}.{rest:03d}Z"
 
 
--- a/swiftpin/keyranges/assignment.py
+++ b/swiftpin/keyranges/assignment.py
@@ -96,15 +96,15 @@
 
     def without_finished_moves(self, current: Assignment) -> Assignment:
         """Return this plan without the moves that have finished in `current`."""
-        open_fences = {
+        unfinished_fences = {
             segment.fence for segment in current.segments if segment.former_owner
         }
-        finished = current.fences() - open_fences
+        finished_fences = current.fences() - unfinished_fences
         return replace(
             self,
             segments=tuple(
                 replace(segment, former_owner="")
-                if segment.former_owner and segment.fence in finished
+                if segment.former_owner and segment.fence in finished_fences
                 else segment
                 for segment in self.segments
             ),
@@ -177,12 +177,12 @@
         targets = read_list(read_field(fields, "targets"), "targets")
         rows = read_list(read_field(fields, "rows"), "rows")
         names = [read_string(name, "a target", may_be_empty=True) for name in targets]
-        starts = [_decode_row(row, names) for row in rows]
+        partial_segments = [_decode_row(row, names) for row in rows]
         max_hold = None
         if ATTR_MAX_HOLD in fields:
             max_hold = read_integer(fields[ATTR_MAX_HOLD], ATTR_MAX_HOLD)
         return Assignment(
-            segments=_fill_last_keys(starts),
+            segments=_fill_last_keys(partial_segments),
             max_hold=None if max_hold is None else max_hold / MILLISECONDS_PER_SECOND,
         )
     except FieldError as err:
@@ -206,13 +206,13 @@
     )
 
 
-def _fill_last_keys(starts: list[Segment]) -> tuple[Segment, ...]:
-    """Return the segments with their last keys; raise if a key isn't covered once."""
-    firsts = [segment.first for segment in starts]
+def _fill_last_keys(partial_segments: list[Segment]) -> tuple[Segment, ...]:
+    """Return the segments with their last keys; raise on gaps and overlaps."""
+    firsts = [segment.first for segment in partial_segments]
     if not firsts or firsts[0] != 0 or firsts != sorted(set(firsts)):
         raise FieldError("the rows do not cover each key exactly once")
     ends = [*firsts[1:], KEY_COUNT]
     return tuple(
         replace(segment, last=end - 1)
-        for segment, end in zip(starts, ends, strict=True)
+        for segment, end in zip(partial_segments, ends, strict=True)
     )
--- a/swiftpin/keyranges/assignment_record.py
+++ b/swiftpin/keyranges/assignment_record.py
@@ -54,8 +54,8 @@
         `ObjectMissingError` if there is no record, and `StoreError` if it is unknown
         whether the record was written. Calling this again is safe in that case.
         """
-        found = await self._client.async_get(KIND_ASSIGNMENT, self._service)
-        recorded = decode_assignment(found.content)
+        stored_object = await self._client.async_get(KIND_ASSIGNMENT, self._service)
+        recorded = decode_assignment(stored_object.content)
         segments = tuple(
             replace(segment, fence=allocate_fence())
             if segment.former_owner
@@ -64,7 +64,10 @@
         )
         assignment = replace(recorded, segments=segments)
         self.revision = await self._client.async_replace(
-            KIND_ASSIGNMENT, self._service, self._encode(assignment), found.revision
+            KIND_ASSIGNMENT,
+            self._service,
+            self._encode(assignment),
+            stored_object.revision,
         )
         return assignment
 
@@ -104,14 +107,14 @@
     async def _async_read_back(self, content: dict[str, object], reason: str) -> bool:
         """Read the record back; return whether it has the written content."""
         try:
-            found = await self._client.async_get(KIND_ASSIGNMENT, self._service)
+            stored_object = await self._client.async_get(KIND_ASSIGNMENT, self._service)
         except ObjectMissingError:
-            found = None
+            stored_object = None
             self._is_missing = self._client.era.was_restored
         except StoreError as err:
             reason = f"{reason}; {err}"
-            found = None
-        is_written = found is not None and found.content == content
+            stored_object = None
+        is_written = stored_object is not None and stored_object.content == content
         log_message(
             message_type="assignment_unsettled",
             level="warning",
@@ -119,8 +122,8 @@
             reason=reason,
             stands=is_written,
         )
-        if found is not None and self._is_replaceable(found.content):
-            self.revision = found.revision
+        if stored_object is not None and self._is_replaceable(stored_object.content):
+            self.revision = stored_object.revision
         return is_written
 
     def _encode(self, assignment: Assignment) -> dict[str, Any]:
--- a/swiftpin/keyranges/election_rules.py
+++ b/swiftpin/keyranges/election_rules.py
@@ -105,7 +105,7 @@
 ) -> float:
     """Return the seconds between two reads while the holder isn't known to be alive.
 
-    `has_live_links` tells whether any other instance is connected.
+    `has_live_links` is set while any other instance is connected.
     """
     record = view.record
     if record is None:
--- a/swiftpin/keyranges/hold_times.py
+++ b/swiftpin/keyranges/hold_times.py
@@ -83,5 +83,5 @@
     def _note_granted(self, hold: float, now: float) -> None:
         """Note that grants of this duration may have been sent until now."""
         if hold > MIN_REGULAR_HOLD:
-            ends_at = now + hold * CLOCK_DRIFT_FACTOR + HOLD_MARGIN
-            self._long_grants_until = max(self._long_grants_until, ends_at)
+            expires_at = now + hold * CLOCK_DRIFT_FACTOR + HOLD_MARGIN
+            self._long_grants_until = max(self._long_grants_until, expires_at)
--- a/swiftpin/keyranges/lease_election.py
+++ b/swiftpin/keyranges/lease_election.py
@@ -148,8 +148,8 @@
         """
         if self._held_term <= self._lapsed_term:
             return False
-        limit = self.valid_until + EXTENSION_LIMIT
-        if now < self.valid_until or now < min(self.extended_until, limit):
+        max_extended_until = self.valid_until + EXTENSION_LIMIT
+        if now < self.valid_until or now < min(self.extended_until, max_extended_until):
             return True
         log_message(message_type="lease_lapsed", level="warning", term=self._held_term)
         self._lapsed_term = self._held_term
@@ -231,7 +231,7 @@
         term, era = self.term, self._store.era
         # Not derived from the last known record, which a restored store may have
         # replaced by an older one.
-        renewed = LeaseRecord(
+        renewed_record = LeaseRecord(
             holder=self._incarnation,
             peer=self._peer,
             term=next_term(term, era) if self.wants_next_term else term,
@@ -239,10 +239,10 @@
             era=era,
             members=self.members,
         )
-        if await self._async_write(renewed):
-            if renewed.term > term:
+        if await self._async_write(renewed_record):
+            if renewed_record.term > term:
                 self.wants_next_term = False
-                log_message(message_type="lease_next_term", term=renewed.term)
+                log_message(message_type="lease_next_term", term=renewed_record.term)
             return LEASE_RENEW_INTERVAL
         # While votes extend the lease, a delay does no harm, and each attempt makes two
         # calls to an unavailable store: 88 calls in an outage of 8 s.
@@ -299,7 +299,7 @@
     async def _async_acquire(self) -> None:
         """Try to acquire the lease under the next term."""
         record = self.record
-        acquired = LeaseRecord(
+        acquired_record = LeaseRecord(
             holder=self._incarnation,
             peer=self._peer,
             term=next_term(self.term, self._store.era),
@@ -307,9 +307,9 @@
             era=self._store.era,
             members=() if record is None else record.members,
         )
-        if await self._async_write(acquired):
+        if await self._async_write(acquired_record):
             self._free_since = None
-            log_message(message_type="lease_taken", term=acquired.term)
+            log_message(message_type="lease_taken", term=acquired_record.term)
 
     async def _async_write(self, record: LeaseRecord) -> bool:
         """Write a record that names this instance; return whether it was written."""
--- a/swiftpin/keyranges/lease_store.py
+++ b/swiftpin/keyranges/lease_store.py
@@ -79,7 +79,7 @@
         """Read the lease and note whether it changed; raise `StoreError`."""
         requested_at = suspend_aware_now()
         try:
-            found = await self._client.async_get(
+            stored_object = await self._client.async_get(
                 KIND_LEASE, NAME_LEASE, limit=LEASE_CALL_TIMEOUT
             )
         except ObjectMissingError:
@@ -94,11 +94,11 @@
         now = suspend_aware_now()
         self._health.record_answer(now)
         try:
-            record = decode_lease(found.content)
+            record = decode_lease(stored_object.content)
         except ConfigurationError as err:
             raise StoreUnavailableError(str(err)) from err
-        if found.revision != self._revision:
-            self._revision = found.revision
+        if stored_object.revision != self._revision:
+            self._revision = stored_object.revision
             self.unchanged_since = now
             self._note_record(record)
         else:
@@ -159,16 +159,22 @@
         except StoreError as err:
             self._health.record_failure(str(err), suspend_aware_now())
             return LeaseWriteOutcome.UNKNOWN
-        found = self.record
-        is_restored_copy = self.was_restored if found is None else found.era < self.era
+        stored_record = self.record
+        is_restored_copy = (
+            self.was_restored if stored_record is None else stored_record.era < self.era
+        )
         if is_restored_copy:
             # The restored store may have lost this instance's record. No other instance
             # acquires the lease while it is valid: after a restore, all wait until
             # every lease that the store may have lost has expired.
             return LeaseWriteOutcome.UNKNOWN
-        if found is None or found.holder != record.holder or found.term > record.term:
+        if (
+            stored_record is None
+            or stored_record.holder != record.holder
+            or stored_record.term > record.term
+        ):
             return LeaseWriteOutcome.HELD_BY_OTHER
-        if (found.term, found.renewal) != (record.term, record.renewal):
+        if (stored_record.term, stored_record.renewal) != (record.term, record.renewal):
             return LeaseWriteOutcome.UNKNOWN
         self._note_written(record, self._attempted_at)
         return LeaseWriteOutcome.WRITTEN
--- a/swiftpin/keyranges/move_runner.py
+++ b/swiftpin/keyranges/move_runner.py
@@ -37,7 +37,7 @@
 
     @callback
     def unload(self) -> None:
-        """Cancel all running moves; the stored record still lists them."""
+        """Cancel all running moves; they remain in the stored record."""
         for task in self._tasks_by_first_key.values():
             task.cancel()
 
--- a/swiftpin/keyranges/plan_balance.py
+++ b/swiftpin/keyranges/plan_balance.py
@@ -60,7 +60,7 @@
             shares[source], desired_utilization
         ):
             continue
-        relief_moves = _plan_relief(
+        source_moves = _plan_moves_from(
             source,
             projected,
             shares,
@@ -68,8 +68,8 @@
             desired_utilization,
             may_split=may_split,
         )
-        moves += relief_moves
-        projected = projected.with_moves(relief_moves, 0)
+        moves += source_moves
+        projected = projected.with_moves(source_moves, 0)
         if len(moves) + len(planned) >= MAX_MOVES_PER_PLAN:
             break
     return moves
@@ -81,7 +81,7 @@
     return excess > MIN_EXCESS_DEVIATIONS * math.sqrt(share.load / DECAY_TIME)
 
 
-def _plan_relief(
+def _plan_moves_from(
     source: str,
     assignment: Assignment,
     shares: dict[str, TargetShare],
@@ -119,7 +119,7 @@
         if window is None:
             break
         low, high = window
-        moved = sum(rates_by_key[key] for key in movable_keys[low : high + 1])
+        moved_load = sum(rates_by_key[key] for key in movable_keys[low : high + 1])
         first, last = movable_keys[low], movable_keys[high]
         if not may_split:
             segment = projected.segment_of(first)
@@ -128,8 +128,8 @@
         moves.append(move)
         # Splitting the segment keeps later windows from spanning the moved keys.
         projected = projected.with_moves([move], 0)
-        share.load -= moved
-        shares[destination].load += moved
+        share.load -= moved_load
+        shares[destination].load += moved_load
         del movable_keys[low : high + 1]
     return moves
 
--- a/swiftpin/keyranges/plan_merges.py
+++ b/swiftpin/keyranges/plan_merges.py
@@ -32,7 +32,7 @@
     neighbour_owners: frozenset[str]
     """Owners of the keys on both sides."""
 
-    has_single_neighbour: bool
+    has_single_neighbour_owner: bool
     """Whether the keys on both sides have the same owner."""
 
     load: float
@@ -69,7 +69,7 @@
         neighbour_indexes = {candidate.index - 1, candidate.index + 1}
         if candidate.index in kept_indexes or moved_indexes & neighbour_indexes:
             continue
-        if not (has_many_segments or candidate.has_single_neighbour):
+        if not (has_many_segments or candidate.has_single_neighbour_owner):
             continue
         destination = _choose_destination(candidate, shares, max_utilization)
         if destination is None:
@@ -100,18 +100,22 @@
     """
     keys = sorted(rates_by_key)
     for index in range(1, len(segments) - 1):
-        before, segment, after = segments[index - 1 : index + 2]
-        if before.former_owner or segment.former_owner or after.former_owner:
+        previous_segment, segment, next_segment = segments[index - 1 : index + 2]
+        if (
+            previous_segment.former_owner
+            or segment.former_owner
+            or next_segment.former_owner
+        ):
             continue
-        neighbour_owners = {before.owner, after.owner}
+        neighbour_owners = {previous_segment.owner, next_segment.owner}
         if segment.owner in neighbour_owners or not neighbour_owners <= shares.keys():
-            # It will be merged anyway, or a neighbour's owner is losing its keys.
+            # It will be merged without a move, or a neighbour's keys are reassigned.
             continue
         low, high = bisect_left(keys, segment.first), bisect_right(keys, segment.last)
         yield MergeCandidate(
             index=index,
             neighbour_owners=frozenset(neighbour_owners),
-            has_single_neighbour=before.owner == after.owner,
+            has_single_neighbour_owner=previous_segment.owner == next_segment.owner,
             load=sum(rates_by_key[key] for key in keys[low:high]),
             width=segment.width,
         )
@@ -119,7 +123,7 @@
 
 def _merge_order(candidate: MergeCandidate) -> tuple[bool, int, float]:
     """Return the sort key: first those that save two segments, then narrow ones."""
-    return (not candidate.has_single_neighbour, candidate.width, candidate.load)
+    return (not candidate.has_single_neighbour_owner, candidate.width, candidate.load)
 
 
 def _choose_destination(
--- a/swiftpin/keyranges/range_assigner.py
+++ b/swiftpin/keyranges/range_assigner.py
@@ -165,8 +165,6 @@
             len(current.segments), current.max_hold, suspend_aware_now()
         )
 
-    # Planning.
-
     async def _async_plan(self) -> None:
         """Plan moves periodically."""
         while True:
--- a/swiftpin/keyranges/target_session.py
+++ b/swiftpin/keyranges/target_session.py
@@ -67,18 +67,18 @@
         The fence that was last sent for the segment is reused if it was sent over the
         same connection; otherwise a new one is allocated.
         """
-        sent = self._sent_fences_by_segment.get(segment_fence)
-        if sent is None or sent.connection != connection:
-            sent = SentFence(fence=allocate_fence(), connection=connection)
-            self._sent_fences_by_segment[segment_fence] = sent
+        sent_fence = self._sent_fences_by_segment.get(segment_fence)
+        if sent_fence is None or sent_fence.connection != connection:
+            sent_fence = SentFence(fence=allocate_fence(), connection=connection)
+            self._sent_fences_by_segment[segment_fence] = sent_fence
         self.grant_connection = connection
-        return sent.fence
+        return sent_fence.fence
 
     @callback
     def last_sent_fence(self, segment_fence: int) -> int | None:
         """Return the last fence sent for a segment, None if none was sent."""
-        sent = self._sent_fences_by_segment.get(segment_fence)
-        return None if sent is None else sent.fence
+        sent_fence = self._sent_fences_by_segment.get(segment_fence)
+        return None if sent_fence is None else sent_fence.fence
 
     @callback
     def drop_fence(self, segment_fence: int) -> None:
@@ -98,8 +98,8 @@
         A target counts the hold time from the call's arrival. If the link loses
         packets, this may be as late as the answer or the timeout of the call.
         """
-        ends_at = arrived_at + hold * CLOCK_DRIFT_FACTOR + HOLD_MARGIN
-        self.held_until = max(self.held_until, ends_at)
+        expires_at = arrived_at + hold * CLOCK_DRIFT_FACTOR + HOLD_MARGIN
+        self.held_until = max(self.held_until, expires_at)
 
     @callback
     def max_unextended_hold(self, now: float) -> float:
--- a/swiftpin/keyranges/target_speed.py
+++ b/swiftpin/keyranges/target_speed.py
@@ -38,19 +38,21 @@
 
 
 class TargetSpeed:
-    """Estimates a service's mean request time and each target's factor of it."""
+    """Estimates a service's mean request time and each target's time relative to it."""
 
     def __init__(self) -> None:
         self.mean_time = INITIAL_REQUEST_TIME
         self._factors_by_target: dict[str, float] = {}
         self._long_term_factors_by_target: dict[str, float] = {}
-        self._errors_by_target: dict[str, float] = {}
+        self._error_rates_by_target: dict[str, float] = {}
 
     @callback
     def add(self, target: str, seconds: float, *, failed: bool) -> None:
         """Add the time of one request at a target."""
-        errors = self._errors_by_target.get(target, 0.0)
-        self._errors_by_target[target] = errors + ERROR_WEIGHT * (failed - errors)
+        error_rate = self._error_rates_by_target.get(target, 0.0)
+        self._error_rates_by_target[target] = error_rate + ERROR_WEIGHT * (
+            failed - error_rate
+        )
         if failed:
             return
         factor = self._factors_by_target.get(target, 1.0)
@@ -75,7 +77,7 @@
     def capacity(self, target: str, slots: int) -> float:
         """Return the requests per second that a target can handle."""
         factor = self._factors_by_target.get(target, 1.0)
-        success_rate = 1.0 - min(self._errors_by_target.get(target, 0.0), 0.9)
+        success_rate = 1.0 - min(self._error_rates_by_target.get(target, 0.0), 0.9)
         return slots * success_rate / (self.mean_time * max(factor, MIN_FACTOR))
 
     @callback
@@ -97,7 +99,7 @@
         for by_target in (
             self._factors_by_target,
             self._long_term_factors_by_target,
-            self._errors_by_target,
+            self._error_rates_by_target,
         ):
             for target in by_target.keys() - targets:
                 del by_target[target]
--- a/swiftpin/platform/target_control.py
+++ b/swiftpin/platform/target_control.py
@@ -101,7 +101,7 @@
         Raises `GrantRefusedError`, `TargetReplacedError` or `TargetUnreachableError`;
         after the latter the grant may still take effect seconds later.
         """
-        state = HttpSendState()
+        send_state = HttpSendState()
         try:
             async with asyncio.timeout(limit):
                 connection = await self._client.async_connection(
@@ -113,11 +113,11 @@
                 )
                 answer = await _async_read(
                     await self._client.async_exchange_over(
-                        connection, request, state, self._gate
+                        connection, request, send_state, self._gate
                     )
                 )
         except (RequestNotSentError, AnswerBrokenError, TimeoutError) as err:
-            raise _unreachable_error(target_id, state, err) from err
+            raise _unreachable_error(target_id, send_state, err) from err
         _check_answer(address, target_id, answer)
 
     async def async_release(
@@ -135,7 +135,7 @@
 
         Raises the same errors as `async_grant`.
         """
-        state = HttpSendState()
+        send_state = HttpSendState()
         request = _make_request(address, target_id, PATH_RELEASE, _key_document(grant))
         try:
             async with asyncio.timeout(limit):
@@ -144,11 +144,11 @@
                 )
                 answer = await _async_read(
                     await self._client.async_exchange_over(
-                        connection, request, state, self._gate
+                        connection, request, send_state, self._gate
                     )
                 )
         except (RequestNotSentError, AnswerBrokenError, TimeoutError) as err:
-            raise _unreachable_error(target_id, state, err) from err
+            raise _unreachable_error(target_id, send_state, err) from err
         _check_answer(address, target_id, answer)
         handover = answer.headers.get(HEADER_HANDOVER)
         if handover is None:
@@ -209,10 +209,10 @@
 
 
 def _unreachable_error(
-    target_id: str, state: HttpSendState, err: Exception
+    target_id: str, send_state: HttpSendState, err: Exception
 ) -> TargetUnreachableError:
     """Return the error for a call that got no answer."""
-    if state.written:
+    if send_state.written:
         return TargetUnreachableError(f"{target_id}: {err!r}")
     return TargetNotReachedError(f"{target_id}: {err!r}")
 
--- a/tests/helpers/test_logging.py
+++ b/tests/helpers/test_logging.py
@@ -87,14 +87,14 @@
 @given(st.text())
 def test_text_stays_one_value(text: str) -> None:
     """No text can break out of its value, and every text can be parsed back."""
-    written = format_value(text)
-    assert written.isascii()
-    assert written.isprintable()
-    if written.startswith('"'):
-        assert json.loads(written) == text
+    formatted = format_value(text)
+    assert formatted.isascii()
+    assert formatted.isprintable()
+    if formatted.startswith('"'):
+        assert json.loads(formatted) == text
     else:
-        assert written == text
-        assert not set(written) & set(' "=')
+        assert formatted == text
+        assert not set(formatted) & set(' "=')
 
 
 def test_keys_are_escaped() -> None:
@@ -135,11 +135,11 @@
 
 def test_lower_levels_are_not_written(stream: Stream) -> None:
     """Messages below the configured level are not written."""
-    started = LoggingSetup(stream, "warning")
-    started.setup()
+    logging_setup = LoggingSetup(stream, "warning")
+    logging_setup.setup()
     log_message(message_type="quiet")
     log_message(message_type="loud", level="error")
-    started.unload()
+    logging_setup.unload()
     assert [line.split()[2] for line in stream.lines] == ["event=loud"]
 
 
@@ -199,8 +199,8 @@
 
 def test_long_text_is_truncated() -> None:
     """Guards against long paths or tracebacks that use up the log volume."""
-    written = format_value("a" * (MAX_TEXT_LENGTH + 7))
-    assert json.loads(written) == f"{'a' * MAX_TEXT_LENGTH}...(7 more)"
+    formatted = format_value("a" * (MAX_TEXT_LENGTH + 7))
+    assert json.loads(formatted) == f"{'a' * MAX_TEXT_LENGTH}...(7 more)"
 
 
 @pytest.mark.parametrize(
--- a/tests/keyranges/test_assignment.py
+++ b/tests/keyranges/test_assignment.py
@@ -118,7 +118,7 @@
     finished = moving.with_replaced(
         moving.segments[0], replace(moving.segments[0], former_owner="")
     )
-    after = planned.without_finished_moves(finished)
-    assert after.segment_of(5).former_owner == ""
-    assert after.segment_of(25).former_owner == "a"
+    remaining = planned.without_finished_moves(finished)
+    assert remaining.segment_of(5).former_owner == ""
+    assert remaining.segment_of(25).former_owner == "a"
     assert planned.without_finished_moves(moving) == planned
--- a/tests/keyranges/test_assignment_state.py
+++ b/tests/keyranges/test_assignment_state.py
@@ -35,11 +35,11 @@
     If part of a segment is moved away just before a renewal of the segment is sent, the
     renewal would grant that part again.
     """
-    before = state.current.segments[0]
-    assert state.is_unchanged(before)
+    old_segment = state.current.segments[0]
+    assert state.is_unchanged(old_segment)
     split = Move(first=100, last=200, source="a", to="b")
     state.assignment = state.current.with_moves([split], 7)
-    assert not state.is_unchanged(before)
+    assert not state.is_unchanged(old_segment)
 
 
 def test_fences_of_removed_segments_are_pruned(state: AssignmentState) -> None:
--- a/tests/keyranges/test_late_records.py
+++ b/tests/keyranges/test_late_records.py
@@ -113,8 +113,8 @@
         self, address: str, target_id: str, grant: KeyGrant, **kwargs: object
     ) -> str:
         """Release keys."""
-        seen = self.highest_fence_by_target.get(target_id, 0)
-        self.highest_fence_by_target[target_id] = max(seen, grant.fence)
+        highest_fence = self.highest_fence_by_target.get(target_id, 0)
+        self.highest_fence_by_target[target_id] = max(highest_fence, grant.fence)
         return "handover"
 
 
--- a/tests/keyranges/test_plan_at_the_limit.py
+++ b/tests/keyranges/test_plan_at_the_limit.py
@@ -81,8 +81,8 @@
         for segment in assignment.segments
     }
     assert loads_by_target(assignment, rates)["t-0"] > CAPACITY
-    after = loads_by_target(execute_plans(assignment, rates), rates)
-    assert max(after.values()) < 0.8 * CAPACITY
+    loads_after = loads_by_target(execute_plans(assignment, rates), rates)
+    assert max(loads_after.values()) < 0.8 * CAPACITY
 
 
 def test_hot_neighbouring_keys_are_spread_with_many_segments() -> None:
@@ -92,13 +92,13 @@
     assert assignment.segment_of(1100) == assignment.segment_of(1199)
     rates = {segment.first: 0.3 for segment in assignment.segments}
     rates |= dict.fromkeys(hot, 0.4)
-    after = execute_plans(assignment, rates)
-    assert max(loads_by_target(after, rates).values()) < CAPACITY
+    assignment_after = execute_plans(assignment, rates)
+    assert max(loads_by_target(assignment_after, rates).values()) < CAPACITY
 
 
 def test_ranges_become_fewer_again() -> None:
     """Cold segments between two owners are merged with one of them."""
     assignment = make_alternating_assignment(MAX_SEGMENTS_PER_TARGET * len(TARGETS) + 5)
     rates = {segment.first: 0.3 for segment in assignment.segments}
-    after = execute_plans(assignment, rates)
-    assert len(after.segments) < MAX_SEGMENTS_PER_TARGET * len(TARGETS) / 2
+    assignment_after = execute_plans(assignment, rates)
+    assert len(assignment_after.segments) < MAX_SEGMENTS_PER_TARGET * len(TARGETS) / 2
--- a/tests/keyranges/test_plan_cold.py
+++ b/tests/keyranges/test_plan_cold.py
@@ -43,8 +43,8 @@
     assignment = divide_by_weight(dict.fromkeys(WARM_TARGETS, 1.0), fence=1)
     rates = even_rates(1.2 * WARM * len(WARM_TARGETS))
     moves = plan_moves(assignment, CAPACITIES, rates, limited_targets=COLD_TARGETS)
-    after = loads_by_target(assignment.with_moves(moves, 2), rates)
-    assert all(0.3 * COLD < after[name] <= COLD for name in COLD_TARGETS)
+    loads_after = loads_by_target(assignment.with_moves(moves, 2), rates)
+    assert all(0.3 * COLD < loads_after[name] <= COLD for name in COLD_TARGETS)
 
 
 def test_keys_of_lost_targets_are_spread_by_capacity() -> None:
@@ -55,8 +55,8 @@
     )
     rates = even_rates(0.5 * WARM * 6)
     moves = plan_moves(assignment, CAPACITIES, rates, limited_targets=COLD_TARGETS)
-    after = loads_by_target(assignment.with_moves(moves, 2), rates)
-    assert all(after[name] <= 1.1 * COLD for name in COLD_TARGETS)
+    loads_after = loads_by_target(assignment.with_moves(moves, 2), rates)
+    assert all(loads_after[name] <= 1.1 * COLD for name in COLD_TARGETS)
 
 
 def test_targets_that_become_cold_again_lose_their_excess_load() -> None:
@@ -75,5 +75,5 @@
                 replace(segment, former_owner="") for segment in moved.segments
             ),
         )
-    after = loads_by_target(assignment, rates)
-    assert all(after[name] <= 1.3 * COLD for name in COLD_TARGETS)
+    loads_after = loads_by_target(assignment, rates)
+    assert all(loads_after[name] <= 1.3 * COLD for name in COLD_TARGETS)
--- a/tests/keyranges/test_planner.py
+++ b/tests/keyranges/test_planner.py
@@ -45,8 +45,8 @@
     rates = dict.fromkeys(range(1000, 1200), 0.15)
     assignment = even_assignment()
     moves = plan_moves(assignment, dict.fromkeys(TARGETS, CAPACITY), rates)
-    after = loads_by_target(assignment.with_moves(moves, 2), rates)
-    assert max(after.values()) < CAPACITY
+    loads_after = loads_by_target(assignment.with_moves(moves, 2), rates)
+    assert max(loads_after.values()) < CAPACITY
     assert sum(move.last - move.first + 1 for move in moves) <= 200
 
 
@@ -54,9 +54,9 @@
     """A target that is no longer eligible loses all its keys."""
     eligible = {"a": CAPACITY, "b": CAPACITY, "c": CAPACITY}
     assignment = even_assignment()
-    after = assignment.with_moves(plan_moves(assignment, eligible, {}), 2)
-    assert {segment.owner for segment in after.segments} == {"a", "b", "c"}
-    assert {s.former_owner for s in after.segments if s.former_owner} == {"d"}
+    reassigned = assignment.with_moves(plan_moves(assignment, eligible, {}), 2)
+    assert {segment.owner for segment in reassigned.segments} == {"a", "b", "c"}
+    assert {s.former_owner for s in reassigned.segments if s.former_owner} == {"d"}
 
 
 def test_moving_segments_are_not_moved_again() -> None:
--- a/tests/keyranges/test_restored_lease.py
+++ b/tests/keyranges/test_restored_lease.py
@@ -47,11 +47,11 @@
 
     def restore(self, age: int) -> None:
         """Restore the record from before the last `age` writes."""
-        kept = max(len(self.backups) - age, 0)
-        if kept < len(self.backups):
-            self.content = self.backups[kept]
-        del self.backups[kept:]
-        number = max(kept, 1)
+        kept_count = max(len(self.backups) - age, 0)
+        if kept_count < len(self.backups):
+            self.content = self.backups[kept_count]
+        del self.backups[kept_count:]
+        number = max(kept_count, 1)
         self.revision = make_revision(era_of(self.revision) + 1, number)
 
 
@@ -198,13 +198,13 @@
     Assigners would load it at the beginning of a new term.
     """
     _, second, lost_writes = await hand_over(store, clock)
-    before = second.term
+    term_before = second.term
     store.restore(lost_writes)
     for _ in range(3):
         await step(second, clock)
         clock.now += 0.1
     assert second.is_held(clock.now)
-    assert second.term == before
+    assert second.term == term_before
 
 
 async def test_instance_started_after_a_restore_does_not_acquire_a_held_lease(
--- a/tests/keyranges/test_target_sessions.py
+++ b/tests/keyranges/test_target_sessions.py
@@ -31,9 +31,9 @@
     for target in (make_life(2), make_life(3)):
         directory.targets_by_id[target.id] = target
     directory.replaced_ids.add("a@2")
-    found = sessions.other_life("a@1")
-    assert found is not None
-    assert found.id == "a@3"
+    other_life = sessions.other_life("a@1")
+    assert other_life is not None
+    assert other_life.id == "a@3"
     assert sessions.other_life("a") is not None
     assert sessions.other_life("aa@1") is None
     assert sessions.other_life("b@1") is None
--- a/tests/keyranges/test_target_speed.py
+++ b/tests/keyranges/test_target_speed.py
@@ -23,24 +23,24 @@
     speed = TargetSpeed()
     for _ in range(20):
         speed.add("a", 0.2, failed=False)
-    before = speed.capacity("a", 2)
+    capacity_before = speed.capacity("a", 2)
     for _ in range(5):
         speed.add_abandoned("a", 1.2)
-    assert speed.capacity("a", 2) < before / 2
+    assert speed.capacity("a", 2) < capacity_before / 2
 
 
 def test_caller_that_leaves_early_says_nothing() -> None:
     """A request that is abandoned early must not make a target appear fast."""
     speed = TargetSpeed()
-    before = speed.capacity("a", 2)
+    capacity_before = speed.capacity("a", 2)
     speed.add_abandoned("a", 0.01)
-    assert speed.capacity("a", 2) == before
+    assert speed.capacity("a", 2) == capacity_before
 
 
 def test_failing_target_has_less_capacity() -> None:
     """A target that fails part of its requests gets fewer keys."""
     speed = TargetSpeed()
-    before = speed.capacity("a", 2)
+    capacity_before = speed.capacity("a", 2)
     for _ in range(10):
         speed.add("a", 0.0, failed=True)
-    assert speed.capacity("a", 2) < before / 2
+    assert speed.capacity("a", 2) < capacity_before / 2
--- a/tests/platform/test_arbitrary_input.py
+++ b/tests/platform/test_arbitrary_input.py
@@ -72,14 +72,14 @@
 
 def value_paths(document: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:  # noqa: ANN401
     """Return the paths of all values in a document."""
-    found = [path]
+    paths = [path]
     if isinstance(document, dict):
         for name, value in document.items():
-            found += value_paths(value, (*path, name))
+            paths += value_paths(value, (*path, name))
     elif isinstance(document, list):
         for number, value in enumerate(document):
-            found += value_paths(value, (*path, number))
-    return found
+            paths += value_paths(value, (*path, number))
+    return paths
 
 
 def replace_at(document: Any, path: tuple[Any, ...], value: object) -> Any:  # noqa: ANN401
@@ -133,8 +133,8 @@
 def test_target_entry(written: object) -> None:
     """Decode a target's entry; a valid one survives a round trip."""
     with suppress(UnusableEntryError):
-        found = decode_target(as_object(written))
-        assert decode_target_list(encode_target_list([found])) == [found]
+        target = decode_target(as_object(written))
+        assert decode_target_list(encode_target_list([target])) == [target]
 
 
 @given(corrupted(NEIGHBOURS))
@@ -171,25 +171,30 @@
 def test_lease(record: object) -> None:
     """Decode a lease record; a valid one survives a round trip."""
     try:
-        found = decode_lease(record)
+        lease_record = decode_lease(record)
     except ConfigurationError:
         return
-    assert isinstance(found.term, int)
-    assert isinstance(found.renewal, int)
-    assert all(isinstance(name, str) for name in (found.holder, *found.members))
-    orjson.dumps(encode_lease(found))
-    assert decode_lease(orjson.loads(orjson.dumps(encode_lease(found)))) == found
+    assert isinstance(lease_record.term, int)
+    assert isinstance(lease_record.renewal, int)
+    assert all(
+        isinstance(name, str) for name in (lease_record.holder, *lease_record.members)
+    )
+    orjson.dumps(encode_lease(lease_record))
+    assert (
+        decode_lease(orjson.loads(orjson.dumps(encode_lease(lease_record))))
+        == lease_record
+    )
 
 
 @given(corrupted(ASSIGNMENT))
 def test_assignment(record: object) -> None:
     """Decode an assignment; a valid one covers every key exactly once."""
     try:
-        found = decode_assignment(record)
+        assignment = decode_assignment(record)
     except ConfigurationError:
         return
-    assert_covers_all_keys(found)
-    assert decode_assignment(encode_assignment(found)) == found
+    assert_covers_all_keys(assignment)
+    assert decode_assignment(encode_assignment(assignment)) == assignment
 
 
 def assert_covers_all_keys(assignment: Assignment) -> None:
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -80,22 +80,22 @@
 def test_longest_prefix_of_the_host_wins() -> None:
     """The route with the longest matching prefix is found."""
     document = configuration(3, [*ROUTES, route("/read/deep/", "unsafe")])
-    found = run_to_completion(decode_configuration(document))
-    assert found.version == 3
-    deep = found.find_route("desk.example", "/read/deep/x")
+    decoded = run_to_completion(decode_configuration(document))
+    assert decoded.version == 3
+    deep = decoded.find_route("desk.example", "/read/deep/x")
     assert deep is not None
     assert deep.kind is RequestKind.ONCE
     assert deep.timeout == 1.0
-    assert found.find_route("desk.example", "/read") is None
-    assert found.find_route("other.example", "/read/x") is None
+    assert decoded.find_route("desk.example", "/read") is None
+    assert decoded.find_route("other.example", "/read/x") is None
 
 
 def test_unknown_kind_is_never_retried() -> None:
     """A kind added by a later version counts as not repeatable."""
-    found = run_to_completion(
+    decoded = run_to_completion(
         decode_configuration(configuration(3, [route("/a/", "odd")]))
     )
-    assert found.routes_by_host["desk.example"][0].kind is RequestKind.ONCE
+    assert decoded.routes_by_host["desk.example"][0].kind is RequestKind.ONCE
 
 
 def test_malformed_configuration_is_an_error() -> None:
--- a/tests/platform/test_wire_names.py
+++ b/tests/platform/test_wire_names.py
@@ -25,14 +25,14 @@
 
 def test_no_wire_name_outside_the_adapter() -> None:
     """A change of the wire format must affect the adapter only."""
-    found = [
+    occurrences = [
         f"{path.relative_to(ROOT)}: {match[0]}"
         for path in ROOT.rglob("*.py")
         if "platform" not in path.relative_to(ROOT).parts
         for match in WIRE_NAMES.finditer(path.read_text())
         if match[0] not in SHARED_NAMES
     ]
-    assert found == []
+    assert occurrences == []
 
 
 def test_adapter_is_small_and_decides_nothing() -> None:
