--- a/swiftpin/keyranges/lease_election.py
+++ b/swiftpin/keyranges/lease_election.py
@@ -47,9 +47,10 @@
     assign keys at the same time, even if one was suspended or partitioned.
 
     While the store is unavailable to all instances, the holder continues for as long as
-    every member in the record votes not to take the lease (`extended_until`), up to a
-    limit. An instance that is not a member waits beyond that limit. Without votes, all
-    keys would become unserved in every store outage that outlasts the targets' grants.
+    every member in the record votes not to acquire the lease (`extended_until`), up to
+    a limit. An instance that is not a member waits beyond that limit. Without votes,
+    all keys would become unserved in every store outage that outlasts the targets'
+    grants.
     """
 
     def __init__(
@@ -73,7 +74,7 @@
         """Time until which the votes of all members extend this holder's lease."""
 
         self.own_vote_until = 0.0
-        """Until when this instance has voted not to take over."""
+        """Time until which this instance has voted not to acquire the lease."""
 
         self.resigned_term = 0
         """Last term in which a holder is known to have stopped assigning keys."""
@@ -141,14 +142,14 @@
     def is_held(self, now: float) -> bool:
         """Return whether this instance may assign keys at the given time.
 
-        A lease that has expired stays so for its term, even if a late vote or the
+        A lease that has expired stays expired for its term, even if a late vote or the
         answer to a renewal arrives: other instances may have been notified that its
         holder stopped, and may take over without waiting.
         """
         if self._held_term <= self._lapsed_term:
             return False
-        limit = self.valid_until + EXTENSION_LIMIT
-        if now < self.valid_until or now < min(self.extended_until, limit):
+        max_extended_until = self.valid_until + EXTENSION_LIMIT
+        if now < self.valid_until or now < min(self.extended_until, max_extended_until):
             return True
         log_message(message_type="lease_lapsed", level="warning", term=self._held_term)
         self._lapsed_term = self._held_term
@@ -185,14 +186,17 @@
             self._health.record_failure(str(err), suspend_aware_now())
 
     async def async_give_up(self) -> None:
-        """Let another instance take over at once; grants stay valid until they end."""
+        """Give up the lease so that another instance can acquire it immediately.
+
+        Grants stay valid until they expire.
+        """
         self.is_standing_down = True
         record = self.record
         if record is None or not self.is_held(suspend_aware_now()):
             return
         self._lapsed_term = self._held_term
         log_message(message_type="lease_given_up", term=self.term)
-        released = LeaseRecord(
+        final_record = LeaseRecord(
             holder="",
             peer="",
             term=self.term,
@@ -201,7 +205,7 @@
             members=record.members,
         )
         try:
-            await self._store.async_write_final(released)
+            await self._store.async_write_final(final_record)
         except StoreError as err:
             # The next holder then has to wait until the lease has expired.
             log_message(message_type="lease_not_freed", level="warning", error=str(err))
@@ -227,7 +231,7 @@
         term, era = self.term, self._store.era
         # Not derived from the last known record, which a restored store may have
         # replaced by an older one.
-        renewed = LeaseRecord(
+        renewed_record = LeaseRecord(
             holder=self._incarnation,
             peer=self._peer,
             term=next_term(term, era) if self.wants_next_term else term,
@@ -235,10 +239,10 @@
             era=era,
             members=self.members,
         )
-        if await self._async_write(renewed):
-            if renewed.term > term:
+        if await self._async_write(renewed_record):
+            if renewed_record.term > term:
                 self.wants_next_term = False
-                log_message(message_type="lease_next_term", term=renewed.term)
+                log_message(message_type="lease_next_term", term=renewed_record.term)
             return LEASE_RENEW_INTERVAL
         # While votes extend the lease, a delay does no harm, and each attempt makes two
         # calls to an unavailable store: 88 calls in an outage of 8 s.
@@ -295,7 +299,7 @@
     async def _async_acquire(self) -> None:
         """Try to acquire the lease under the next term."""
         record = self.record
-        acquired = LeaseRecord(
+        acquired_record = LeaseRecord(
             holder=self._incarnation,
             peer=self._peer,
             term=next_term(self.term, self._store.era),
@@ -303,9 +307,9 @@
             era=self._store.era,
             members=() if record is None else record.members,
         )
-        if await self._async_write(acquired):
+        if await self._async_write(acquired_record):
             self._free_since = None
-            log_message(message_type="lease_taken", term=acquired.term)
+            log_message(message_type="lease_taken", term=acquired_record.term)
 
     async def _async_write(self, record: LeaseRecord) -> bool:
         """Write a record that names this instance; return whether it was written."""
