--- a/swiftpin/security/__init__.py
+++ b/swiftpin/security/__init__.py
@@ -1,1 +1,1 @@
-"""Certificates and tokens at the borders of an instance."""
+"""TLS certificates and tokens for an instance's ports and connections."""
--- a/swiftpin/security/client_tls.py
+++ b/swiftpin/security/client_tls.py
@@ -1,4 +1,4 @@
-"""TLS towards servers."""
+"""TLS for outgoing connections."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from swiftpin.security.tls_files import TlsFiles
 
 CLOSE_TIMEOUT: Final = 1.0
-"""Seconds that the other side has to confirm a close; the default of 30 would keep
-sockets of a peer that is gone."""
+"""Seconds that the other side has to confirm a close. The default of 30 would keep
+the sockets of a crashed peer open."""
 
 
 class ClientTls(Reloadable[SSLContext]):
-    """Certificates for connections that are opened here."""
+    """Certificates for the connections that an instance opens."""
 
     def __init__(self, files: TlsFiles) -> None:
         super().__init__(files.configured_files, lambda: client_context(files))
--- a/swiftpin/security/edge_security.py
+++ b/swiftpin/security/edge_security.py
@@ -1,4 +1,4 @@
-"""Certificates, token and sessions of one instance."""
+"""TLS certificates, store token and HTTP sessions of one instance."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 
 class EdgeSecurity:
-    """What protects each border; None where TLS is off.
+    """TLS configuration of each port and connection; None where TLS is off.
 
-    Raises `ConfigurationError` that names flag and file when a file is wrong, and
-    has opened nothing by then. `session` is for the platform, `target_session` for
-    targets' control interface.
+    Raises `ConfigurationError` with flag and file when a file is invalid, before
+    any session is opened. `session` connects to the platform, `target_session` to
+    the targets' control interface.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -47,31 +47,31 @@
             key=settings.store_tls_key,
             token=settings.store_token_file,
         )
-        self.callers = _server(callers, ALPN_HTTP)
-        self.forwards = _server(peer, ALPN_HTTP)
-        self.peers = _server(peer, ALPN_GRPC)
-        self.peer_client = _client(peer)
-        self.target_client = _client(targets)
+        self.callers = _create_server_tls(callers, ALPN_HTTP)
+        self.forwards = _create_server_tls(peer, ALPN_HTTP)
+        self.peers = _create_server_tls(peer, ALPN_GRPC)
+        self.peer_client = _create_client_tls(peer)
+        self.target_client = _create_client_tls(targets)
         self.reloader = Reloader(self._reloadables())
         self._store_url = settings.store_url
-        self.session = _session(None)
-        self.target_session = _session(self.target_client)
+        self.session = _create_session(None)
+        self.target_session = _create_session(self.target_client)
 
     @callback
     def setup(self) -> None:
-        """Begin to look for changed files."""
+        """Start watching the files for changes."""
         self.reloader.setup()
         if self.store.token is not None and self.store.tls is None:
             log_message(message_type="store_token_sent_in_clear", level="warning")
 
     async def async_unload(self) -> None:
-        """Close the sessions."""
+        """Stop watching the files and close the sessions."""
         await self.reloader.async_unload()
         await self.target_session.close()
         await self.session.close()
 
     def create_store_client(self, instance_id: str, timeout: float) -> StoreClient:
-        """Return a client of the store with a time limit in seconds."""
+        """Return a client of the store with a timeout in seconds."""
         return StoreClient(
             self.session,
             self._store_url,
@@ -81,8 +81,8 @@
         )
 
     def _reloadables(self) -> list[Reloadable[object]]:
-        """Return everything that is made from files."""
-        made = (
+        """Return everything that is loaded from files."""
+        candidates = (
             self.callers,
             self.forwards,
             self.peers,
@@ -91,20 +91,20 @@
             self.store.tls,
             self.store.token,
         )
-        return [part for part in made if part is not None]  # type: ignore[misc]
+        return [item for item in candidates if item is not None]  # type: ignore[misc]
 
 
-def _server(files: TlsFiles, protocol: str) -> ServerTls | None:
-    """Return the certificates of a port, None without files."""
+def _create_server_tls(files: TlsFiles, protocol: str) -> ServerTls | None:
+    """Return the TLS configuration of a port, None without files."""
     return ServerTls(files, protocol) if files.configured_files else None
 
 
-def _client(files: TlsFiles) -> ClientTls | None:
-    """Return the certificates for connections, None without files."""
+def _create_client_tls(files: TlsFiles) -> ClientTls | None:
+    """Return the TLS configuration for connections, None without files."""
     return ClientTls(files) if files.configured_files else None
 
 
-def _session(tls: ClientTls | None) -> ClientSession:
-    """Return a session that keeps no cookies."""
+def _create_session(tls: ClientTls | None) -> ClientSession:
+    """Return a session that does not store cookies."""
     connector = TCPConnector() if tls is None else TlsConnector(tls)
     return ClientSession(connector=connector, cookie_jar=DummyCookieJar())
--- a/swiftpin/security/named_file.py
+++ b/swiftpin/security/named_file.py
@@ -1,4 +1,4 @@
-"""A file that a setting names."""
+"""A file whose path comes from a setting."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class NamedFile:
-    """A file and the flag that named it; its text is flag and path."""
+    """A file and the flag that sets its path; error messages show both."""
 
     flag: str
     path: Path
@@ -19,20 +19,20 @@
         return f"{self.flag} {str(self.path)!r}"
 
     def read(self) -> bytes:
-        """Return the content; raise `ConfigurationError` when it can't be read."""
+        """Return the content; raise `ConfigurationError` if it can't be read."""
         try:
             return self.path.read_bytes()
         except OSError as err:
             raise ConfigurationError(f"{self}: {err.strerror or err}") from err
 
     def state(self) -> tuple[int, ...]:
-        """Return what differs once the file has changed; empty when it is gone.
+        """Return a value that changes with the file; empty if it does not exist.
 
-        The inode is part of it, since a file that is put in place by a rename or a
-        changed link may be as old and as long as the one before.
+        The inode is included because a file that is replaced by a rename or a
+        changed link may have the modification time and size of its predecessor.
         """
         try:
-            found = self.path.stat()
+            status = self.path.stat()
         except OSError:
             return ()
-        return (found.st_mtime_ns, found.st_size, found.st_ino)
+        return (status.st_mtime_ns, status.st_size, status.st_ino)
--- a/swiftpin/security/reloadable.py
+++ b/swiftpin/security/reloadable.py
@@ -1,4 +1,4 @@
-"""Something that is made from files and made again when they change."""
+"""A value that is loaded from files and reloaded when they change."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class Reloadable(Generic[ValueT]):
-    """Holds the latest value that could be made from the files.
+    """Holds the value that was last loaded successfully from the files.
 
-    Making it the first time raises `ConfigurationError`; later a broken file is
-    logged once and the value before stays.
+    The first load raises `ConfigurationError` if a file is invalid; later an invalid
+    file is logged once and the previous value stays in use.
     """
 
     def __init__(self, files: Sequence[NamedFile], load: Callable[[], ValueT]) -> None:
@@ -29,14 +29,14 @@
 
     @property
     def value(self) -> ValueT:
-        """Return the value in force."""
+        """Return the current value."""
         return self._value
 
     async def async_refresh(self) -> None:
-        """Make the value again if a file has changed; log the outcome."""
+        """Reload the value if a file has changed; log the outcome."""
         files = ", ".join(str(file) for file in self._files)
         try:
-            fresh = await asyncio.to_thread(self._load_changed)
+            new_value = await asyncio.to_thread(self._load_changed)
         except ConfigurationError as err:
             log_message(
                 message_type="credentials_kept",
@@ -45,16 +45,16 @@
                 error=str(err),
             )
             return
-        if fresh is not None:
-            self._value = fresh
+        if new_value is not None:
+            self._value = new_value
             log_message(message_type="credentials_reloaded", files=files)
 
     def _load_changed(self) -> ValueT | None:
-        """Return a new value, None while the files are as they were.
+        """Return a new value, None if the files are unchanged.
 
-        The states are read before the files. When certificate and key are replaced
-        one after the other, the pair does not match in between; the second change
-        then shows as one, and the pair is read again.
+        The states are read before the files. If certificate and key are replaced one
+        after the other, the pair does not match in between; the second replacement
+        is then detected as another change, and the pair is loaded again.
         """
         states = self._read_states()
         if states == self._states:
--- a/swiftpin/security/reloader.py
+++ b/swiftpin/security/reloader.py
@@ -1,4 +1,4 @@
-"""Looks for changed files while an instance runs."""
+"""Reloads changed files while an instance runs."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from swiftpin.security.reloadable import Reloadable
 
 RELOAD_INTERVAL: Final = 2.0
-"""Seconds between two looks at the files."""
+"""Seconds between two checks of the files."""
 
 
 class Reloader:
-    """Refreshes everything that is made from files."""
+    """Periodically refreshes the values that are loaded from files."""
 
     def __init__(self, reloadables: Sequence[Reloadable[Any]]) -> None:
         self._reloadables = reloadables
@@ -23,21 +23,21 @@
 
     @callback
     def setup(self) -> None:
-        """Begin, if there is anything to look for."""
+        """Start the task if there is anything to reload."""
         if self._reloadables:
             self._task.start(self._async_run)
 
     async def async_unload(self) -> None:
-        """End."""
+        """Stop the task."""
         await self._task.async_stop()
 
     async def async_refresh(self) -> None:
-        """Look once."""
+        """Reload whatever has changed."""
         for reloadable in self._reloadables:
             await reloadable.async_refresh()
 
     async def _async_run(self) -> None:
-        """Look again and again."""
+        """Refresh at regular intervals."""
         while True:
             await asyncio.sleep(RELOAD_INTERVAL)
             await self.async_refresh()
--- a/swiftpin/security/secured_membership.py
+++ b/swiftpin/security/secured_membership.py
@@ -1,4 +1,4 @@
-"""Membership whose instances know each other by certificates."""
+"""Membership whose instances authenticate each other by certificates."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class SecuredMembership(MembershipCoordinator):
-    """`MembershipCoordinator` with TLS on its port and in its calls."""
+    """`MembershipCoordinator` with TLS on its port and for its calls."""
 
     @callback
     def set_tls(self, client: ClientTls | None, server: ServerTls | None) -> None:
-        """Use the certificates; to be called before the set-up."""
+        """Set the certificates to use; must be called before setup."""
         self.clients.tls = client
         self._server.tls = server
--- a/swiftpin/security/server_tls.py
+++ b/swiftpin/security/server_tls.py
@@ -13,14 +13,14 @@
 ALPN_HTTP: Final = "http/1.1"
 
 HANDSHAKE_TIMEOUT: Final = 10.0
-"""Seconds that a caller has for its handshake."""
+"""Seconds that a caller has to complete its TLS handshake."""
 
 
 class ServerTls(Reloadable[SSLContext]):
-    """Certificates for connections that come in.
+    """Certificates for incoming connections.
 
-    A listening socket keeps the context that it was given. That context hands each
-    new connection to the one in force, which brings its certificate, key and CA.
+    A listening socket keeps the context that it was created with. That context
+    switches each new connection to the current one, with its certificate, key and CA.
     """
 
     def __init__(self, files: TlsFiles, protocol: str) -> None:
@@ -33,8 +33,8 @@
     def _use_current(
         self, connection: SSLObject, name: str | None, context: SSLContext
     ) -> None:
-        """Serve a connection with the certificates in force.
+        """Serve a connection with the current certificates.
 
-        The library calls this at each handshake, also when no name was asked for.
+        The library calls this at each handshake, even if the client sent no name.
         """
         connection.context = self.value
--- a/swiftpin/security/store_access.py
+++ b/swiftpin/security/store_access.py
@@ -1,4 +1,4 @@
-"""What a client of the store shows and demands."""
+"""Credentials and TLS settings of a store client."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StoreAccess:
-    """Certificates and token for calls of the store; None where there is none."""
+    """Certificates and token for calls to the store; None if not configured."""
 
     tls: ClientTls | None = None
     token: BearerToken | None = None
 
     @callback
     def headers(self) -> dict[str, str]:
-        """Return the headers that say who calls."""
+        """Return the headers that authenticate the client."""
         if self.token is None:
             return {}
         return {AUTHORIZATION: f"Bearer {self.token.value}"}
 
     @callback
     def ssl(self) -> SSLContext | bool:
-        """Return what aiohttp takes as `ssl`; True stands for its default."""
+        """Return the value for aiohttp's `ssl` parameter; True is its default."""
         return True if self.tls is None else self.tls.context
 
 
 NO_CREDENTIALS: Final = StoreAccess()
-"""Neither certificates nor a token."""
+"""Access with neither certificates nor a token."""
--- a/swiftpin/security/store_files.py
+++ b/swiftpin/security/store_files.py
@@ -1,4 +1,4 @@
-"""Files for access to the store, as flags name them."""
+"""Certificate and token files for access to the store."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 def load_store_access(
     *, ca: Path | None, cert: Path | None, key: Path | None, token: Path | None
 ) -> StoreAccess:
-    """Return access by the files; raise `ConfigurationError` when one is wrong."""
+    """Load the files; raise `ConfigurationError` if one is invalid."""
     files = TlsFiles(
         ca=named_file(FLAG_STORE_CA, ca),
         cert=named_file(FLAG_STORE_CERT, cert),
@@ -36,9 +36,9 @@
 def check_store_files(
     url: str, *, ca: Path | None, cert: Path | None, key: Path | None
 ) -> None:
-    """Raise `ValueError` for files that do not go with each other or the URL.
+    """Raise `ValueError` if the files don't fit each other or the URL.
 
-    A CA with `http://` would look as if calls were protected.
+    A CA with an `http://` URL would give the impression that calls are protected.
     """
     check_all_or_none((FLAG_STORE_CERT, cert), (FLAG_STORE_KEY, key))
     check_ca_present((FLAG_STORE_CERT, cert), (FLAG_STORE_CA, ca))
--- a/swiftpin/security/tls_connector.py
+++ b/swiftpin/security/tls_connector.py
@@ -1,4 +1,4 @@
-"""Connections of a session whose calls all use TLS."""
+"""Connector for sessions whose calls all use TLS."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class TlsConnector(TCPConnector):
-    """Connector that carries the certificates for whoever calls through it.
+    """Connector that holds the certificates for the calls of its session.
 
-    A declared target is `host:port` either way, so that whether it is spoken to by
-    TLS shows by the session.
+    A configured target is `host:port` with or without TLS, so the session determines
+    whether calls to it use TLS.
     """
 
     def __init__(self, tls: ClientTls) -> None:
@@ -20,6 +20,6 @@
 
 
 def session_tls(session: ClientSession) -> ClientTls | None:
-    """Return the certificates that a session's calls are to use."""
+    """Return the certificates that a session's calls must use."""
     connector = session.connector
     return connector.tls if isinstance(connector, TlsConnector) else None
--- a/swiftpin/security/tls_context.py
+++ b/swiftpin/security/tls_context.py
@@ -1,7 +1,7 @@
-"""Making of TLS contexts.
+"""Creation of TLS contexts.
 
-Errors are in words of our own: those of the TLS library name neither the flag nor the
-file, and nothing that a key file holds may reach a log.
+Errors don't include the TLS library's message: it names neither the flag nor the file,
+and the content of a key file must never reach a log.
 """
 
 from __future__ import annotations
@@ -23,42 +23,42 @@
 from swiftpin.security.tls_files import TlsFiles
 
 NO_PASSPHRASE: Final = ""
-"""Given for any key, since the library would otherwise ask at the terminal and wait."""
+"""Passed for every key; without it, the library would prompt at the terminal."""
 
 
 def client_context(files: TlsFiles) -> SSLContext:
-    """Return a context for connections to servers of the CA.
+    """Return a context for connections to servers with a certificate of the CA.
 
-    The server's certificate must also name the host that was asked for. Raises
-    `ConfigurationError` that names flag and file.
+    The server's certificate must also match the host name. Raises
+    `ConfigurationError` with flag and file.
     """
     context = SSLContext(PROTOCOL_TLS_CLIENT)
     context.minimum_version = TLSVersion.TLSv1_2
     _load_ca(context, files.ca)
-    _load_own(context, files)
+    _load_certificate(context, files)
     return context
 
 
 def server_context(files: TlsFiles, protocol: str) -> SSLContext:
-    """Return a context for a port; with a CA, callers without its certificate fail.
+    """Return a context for a port; a CA makes client certificates mandatory.
 
-    `protocol` is the ALPN name. Raises `ConfigurationError` that names flag and file.
+    `protocol` is the ALPN name. Raises `ConfigurationError` with flag and file.
     """
     context = SSLContext(PROTOCOL_TLS_SERVER)
     context.minimum_version = TLSVersion.TLSv1_2
     context.options |= OP_NO_RENEGOTIATION
     context.set_alpn_protocols([protocol])
-    _load_own(context, files)
+    _load_certificate(context, files)
     if files.ca is not None:
-        _demand_certificate(context, files.ca)
+        _require_client_certificate(context, files.ca)
     return context
 
 
-def _demand_certificate(context: SSLContext, ca: NamedFile) -> None:
-    """Refuse callers without a certificate of the CA.
+def _require_client_certificate(context: SSLContext, ca: NamedFile) -> None:
+    """Reject clients without a certificate of the CA.
 
-    A resumed session shows no certificate. With tickets an instance whose CA was
-    taken out would go on getting in until its ticket ends, so there are none.
+    A resumed session presents no certificate. With session tickets, an instance whose
+    CA was removed could connect until its ticket expires, so tickets are disabled.
     """
     context.verify_mode = CERT_REQUIRED
     context.minimum_version = TLSVersion.TLSv1_3
@@ -68,18 +68,18 @@
 
 
 def _load_ca(context: SSLContext, ca: NamedFile | None) -> None:
-    """Trust the certificates of a file."""
+    """Trust the CA certificates in a file."""
     if ca is None:
         return
     ca.read()
     try:
         context.load_verify_locations(cafile=ca.path)
     except (SSLError, OSError) as err:
-        raise ConfigurationError(f"{ca}: holds no PEM certificate") from err
+        raise ConfigurationError(f"{ca}: contains no PEM certificate") from err
 
 
-def _load_own(context: SSLContext, files: TlsFiles) -> None:
-    """Show a certificate of our own to the other side."""
+def _load_certificate(context: SSLContext, files: TlsFiles) -> None:
+    """Load the certificate and key to present to the other side."""
     if files.cert is None or files.key is None:
         return
     _load_ca(SSLContext(PROTOCOL_TLS_SERVER), files.cert)
@@ -88,6 +88,6 @@
         context.load_cert_chain(files.cert.path, files.key.path, NO_PASSPHRASE)
     except (SSLError, OSError) as err:
         raise ConfigurationError(
-            f"{files.key}: holds no PEM key without a passphrase that belongs to "
+            f"{files.key}: contains no PEM key without a passphrase that matches "
             f"{files.cert}"
         ) from err
--- a/swiftpin/security/tls_files.py
+++ b/swiftpin/security/tls_files.py
@@ -1,4 +1,4 @@
-"""Files that one border's TLS is made of."""
+"""PEM files of one TLS configuration."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TlsFiles:
-    """PEM files; `ca` judges the other side, `cert` and `key` show who we are.
+    """PEM files: `ca` verifies the other side, `cert` and `key` are presented to it.
 
-    `cert` and `key` come together, `cert` may hold intermediate certificates too.
+    `cert` and `key` are set together; `cert` may contain intermediate certificates too.
     """
 
     ca: NamedFile | None = None
@@ -20,6 +20,6 @@
 
     @property
     def configured_files(self) -> tuple[NamedFile, ...]:
-        """Return the files that are given."""
+        """Return the files that are configured."""
         files = (self.ca, self.cert, self.key)
         return tuple(file for file in files if file is not None)
--- a/tests/security/__init__.py
+++ b/tests/security/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of certificates and tokens at the borders."""
+"""Tests for TLS certificates, tokens and untrusted callers."""
--- a/tests/security/certificates.py
+++ b/tests/security/certificates.py
@@ -1,4 +1,4 @@
-"""Certificates made for one test."""
+"""Certificates generated for a test."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Certificates:
-    """Files of one CA and of a certificate by it, which can be replaced."""
+    """Replaceable files of a CA and of a certificate issued by it."""
 
     def __init__(self, directory: Path) -> None:
         directory.mkdir()
@@ -32,40 +32,40 @@
 
     @property
     def ca(self) -> NamedFile:
-        """Return the file of the CA."""
+        """Return the CA's file."""
         return NamedFile(flag="--peer-tls-ca", path=self.ca_path)
 
     @property
     def cert(self) -> NamedFile:
-        """Return the file of the certificate."""
+        """Return the certificate's file."""
         return NamedFile(flag="--peer-tls-cert", path=self.cert_path)
 
     @property
     def key(self) -> NamedFile:
-        """Return the file of the key."""
+        """Return the key's file."""
         return NamedFile(flag="--peer-tls-key", path=self.key_path)
 
     def change_authority(self) -> None:
-        """Replace the CA and everything by it."""
+        """Replace the CA and the certificate issued by it."""
         self._authority = trustme.CA()
         self.replace()
 
     def replace(self, host: str = HOST) -> None:
-        """Write a new certificate and key, each file by a rename."""
-        made = self._authority.issue_cert(host)
-        put(self.cert_path, made.cert_chain_pems[0].bytes())
-        put(self.key_path, made.private_key_pem.bytes())
+        """Issue a new certificate and key, and replace each file atomically."""
+        issued = self._authority.issue_cert(host)
+        put(self.cert_path, issued.cert_chain_pems[0].bytes())
+        put(self.key_path, issued.private_key_pem.bytes())
         put(self.ca_path, self._authority.cert_pem.bytes())
 
     def bare_client(self) -> SSLContext:
-        """Return a context that trusts the CA and has no certificate to show."""
+        """Return a context that trusts the CA and has no client certificate."""
         context = SSLContext(PROTOCOL_TLS_CLIENT)
         context.load_verify_locations(cafile=self.ca_path)
         return context
 
 
 def put(path: Path, content: bytes) -> None:
-    """Put a file in place whole."""
-    fresh = path.with_suffix(".new")
-    fresh.write_bytes(content)
-    os.replace(fresh, path)
+    """Replace a file atomically."""
+    new_path = path.with_suffix(".new")
+    new_path.write_bytes(content)
+    os.replace(new_path, path)
--- a/tests/security/conftest.py
+++ b/tests/security/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that the tests of security share."""
+"""Fixtures shared by the security tests."""
 
 from __future__ import annotations
 
@@ -23,29 +23,29 @@
 
 @pytest.fixture
 def own(tmp_path: Path) -> Certificates:
-    """Return certificates of the right CA."""
+    """Return certificates of the trusted CA."""
     return Certificates(tmp_path / "own")
 
 
 @pytest.fixture
 def other(tmp_path: Path) -> Certificates:
-    """Return certificates of a CA that nobody trusts."""
+    """Return certificates of an untrusted CA."""
     return Certificates(tmp_path / "other")
 
 
 @pytest.fixture
 def messages() -> Iterator[Messages]:
-    """Return what is logged."""
-    seen: Messages = []
-    add_destinations(seen.append)
-    # What was logged while nobody listened comes first.
-    seen.clear()
-    yield seen
-    remove_destination(seen.append)
+    """Return the log messages written during the test."""
+    logged: Messages = []
+    add_destinations(logged.append)
+    # eliot first delivers messages logged before a destination existed.
+    logged.clear()
+    yield logged
+    remove_destination(logged.append)
 
 
 @pytest.fixture
 async def session() -> AsyncIterator[ClientSession]:
     """Return a client session."""
-    async with ClientSession() as opened:
-        yield opened
+    async with ClientSession() as client_session:
+        yield client_session
--- a/tests/security/secured_world.py
+++ b/tests/security/secured_world.py
@@ -1,4 +1,4 @@
-"""Two whole instances with TLS at every border, and the platform they need."""
+"""Two complete instances with TLS on every connection, and their platform."""
 
 from __future__ import annotations
 
@@ -33,9 +33,10 @@
 
 
 class SecuredWorld:
-    """Stand-ins that answer by TLS only, two instances and what they logged.
+    """TLS-only stand-ins, two instances and their logs.
 
-    Platform and targets demand certificates too; each border has a CA of its own.
+    The store and the targets require client certificates. Peers, callers, store and
+    targets have a separate CA each.
     """
 
     def __init__(self, session: ClientSession, directory: Path) -> None:
@@ -58,7 +59,7 @@
         self._ports = PortAllocator()
 
     async def async_setup(self) -> None:
-        """Start the stand-ins and both instances, and declare a service."""
+        """Start the stand-ins and both instances, and configure a service."""
         await self.store.async_start()
         await self.instances.async_start()
         for target in self.targets:
@@ -84,7 +85,7 @@
         return b"".join(log.getvalue() for log in self.logs).decode()
 
     async def async_call(self, gateway: Gateway, key: str) -> ClientResponse:
-        """Return the whole answer to a lookup."""
+        """Return the complete answer to a lookup."""
         async with self.session.get(
             f"https://{gateway.listeners.callers}/desk/a",
             headers={"Swiftpin-Key": key},
@@ -94,7 +95,7 @@
             return answer
 
     async def async_is_served(self) -> bool:
-        """Return whether both instances get a lookup answered by a target."""
+        """Return whether a target answers lookups through both instances."""
         answered = str(ResultCode.ANSWERED.value)
         for gateway in self.gateways:
             answer = await self.async_call(gateway, "k1")
@@ -103,7 +104,7 @@
         return True
 
     async def _async_start(self, name: str) -> None:
-        """List and start one instance."""
+        """Register and start one instance."""
         peer, forward, admin, listen = (self._ports.allocate() for _ in range(4))
         instance = ListedInstance(
             name=name, zone=name, peer=peer, forward=forward, admin=admin
@@ -141,7 +142,7 @@
         await gateway.async_setup()
 
     async def _async_apply_desk(self) -> None:
-        """Declare a keyed service by the store client of an instance."""
+        """Configure a keyed service through the store client of an instance."""
         name = ConfigName(kind=ConfigKind.SERVICE, name="desk")
         document: dict[str, Any] = {
             "apiVersion": "swiftpin/v1",
--- a/tests/security/test_forgery.py
+++ b/tests/security/test_forgery.py
@@ -1,4 +1,4 @@
-"""What a caller sends can't pass for swiftpin's own word."""
+"""Tests that callers and targets can't forge swiftpin's headers or log lines."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     "Swiftpin-Caller: 1.2.3.4\r\nSwiftpin-Hops: 1\r\nSwiftpin-Instance: g9/ff\r\n"
     "Swiftpin-Result: 100\r\nSwiftpin-Executed: no\r\nTarget-Refusal: lapsed\r\n"
 )
-TRUE_BY_NAME = {
+GENUINE_BY_NAME = {
     "swiftpin-slice": "7",
     "swiftpin-term": "4",
     "swiftpin-holder": "g1/aa",
@@ -39,7 +39,7 @@
 async def entry(
     catalog: Catalog, gateway: GatewayFixture, target: ScriptedServer
 ) -> AsyncIterator[GatewayFixture]:
-    """Return an instance that sends everything on to `gateway`."""
+    """Return an instance that forwards every request to `gateway`."""
     ownership = FakeOwnership()
     ownership.routes = [
         local_route(target.address, forward_address=gateway.forward_address)
@@ -54,10 +54,10 @@
 async def test_forged_headers_do_not_reach_the_target(
     gateway: GatewayFixture, entry: GatewayFixture, target: ScriptedServer, hops: int
 ) -> None:
-    """A caller can't claim a term, an instance, a hop or a result, over a hop or not.
+    """Guards against forged headers for term, holder, hops or result, in any case.
 
-    Nor does it help to name the true headers as belonging to the connection, where
-    they would be dropped, or to send them in another case.
+    A caller could also list the genuine headers in `Connection` to have them dropped
+    as hop-by-hop headers. Both are tested with and without a forward.
     """
     caller = RawCaller((gateway, entry)[hops].address)
     await caller.async_setup()
@@ -65,7 +65,7 @@
     answer = await caller.async_call(headers=FORGED + connection)
     assert answer.result == ResultCode.ANSWERED
     headers_by_name = target.seen[0].headers_by_name
-    for name, value in TRUE_BY_NAME.items():
+    for name, value in GENUINE_BY_NAME.items():
         assert headers_by_name[name] == value
     assert headers_by_name["swiftpin-request-id"] != "stolen"
     assert answer.headers_by_name["swiftpin-request-id"] != "stolen"
@@ -77,7 +77,7 @@
 async def test_callers_port_knows_no_hops(
     caller: RawCaller, target: ScriptedServer, gateway: GatewayFixture
 ) -> None:
-    """A caller that claims to be an instance is served and logged as a caller."""
+    """A caller that claims to be an instance is still handled as a caller."""
     await caller.async_call(headers="Swiftpin-Hops: 1\r\nSwiftpin-Caller: g2\r\n")
     (line,) = gateway.lines
     assert " entry=caller " in line
@@ -86,7 +86,7 @@
 async def test_target_cannot_forge_a_result(
     caller: RawCaller, target: ScriptedServer
 ) -> None:
-    """The result that a caller reads is the gateway's own."""
+    """The gateway replaces result headers that a target sends."""
 
     async def async_script(
         connection: ScriptedConnection, request: SeenRequest
@@ -104,7 +104,7 @@
 async def test_many_headers_are_refused(
     caller: RawCaller, target: ScriptedServer
 ) -> None:
-    """The number of headers is bounded as their size is."""
+    """The number of headers is limited, not only their size."""
     headers = "".join(f"X-{number}: 1\r\n" for number in range(200))
     answer = await caller.async_call(headers=headers)
     assert answer.error["executed"] == "no"
@@ -128,7 +128,7 @@
     path: str,
     headers: str,
 ) -> None:
-    """Nothing of a request can begin a line or add a pair."""
+    """Guards against requests that inject a line or a field into the log."""
     await caller.async_call("POST", path.replace(" ", "%20"), headers=headers, body=b"")
     (line,) = gateway.lines
     assert line.count("\n") + line.count("\r") == 0
--- a/tests/security/test_peer_port.py
+++ b/tests/security/test_peer_port.py
@@ -1,4 +1,4 @@
-"""Instances that know each other by certificates."""
+"""Tests for instances that authenticate each other by certificates."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 from tests.security.certificates import Certificates
 
 GROUP = GroupId(service="desk", group=0)
-BEATS = [GroupHeartbeat(group=GROUP, term=2, revision=7)]
+HEARTBEATS = [GroupHeartbeat(group=GROUP, term=2, revision=7)]
 
 
 class Pair:
-    """A listening instance and others that call it."""
+    """A listening instance and the instances that call it."""
 
     def __init__(self, session: ClientSession, server: ServerTls | None) -> None:
         self.handler = FakeHandler()
@@ -42,7 +42,7 @@
         self._members: list[SecuredMembership] = []
 
     async def async_setup(self) -> None:
-        """List and start the listening instance."""
+        """Register and start the listening instance."""
         await self._platform.async_start()
         self._platform.change(
             ListedInstance(
@@ -54,17 +54,17 @@
             ),
             monotonic_now(),
         )
-        member = self._make("b", self._address)
+        member = self._create_member("b", self._address)
         member.set_tls(None, self._server)
         await member.async_setup()
 
     async def async_beat(self, client: ClientTls | None) -> bool:
-        """Return whether a new connection with these certificates gets through."""
-        member = self._make("a", "127.0.0.1:0")
+        """Return whether a heartbeat over a new connection is accepted."""
+        member = self._create_member("a", "127.0.0.1:0")
         member.set_tls(client, None)
         await member.directory.async_refresh()
         try:
-            reply = await member.clients.async_heartbeat("b", BEATS)
+            reply = await member.clients.async_heartbeat("b", HEARTBEATS)
         except PeerError:
             return False
         return reply.accepted == {GROUP}
@@ -75,7 +75,7 @@
             await member.async_unload()
         await self._platform.async_stop()
 
-    def _make(self, name: str, listen: str) -> SecuredMembership:
+    def _create_member(self, name: str, listen: str) -> SecuredMembership:
         """Return an instance."""
         member = SecuredMembership(
             instance_id=f"{name}/a1",
@@ -109,20 +109,20 @@
 
 
 async def test_instances_of_one_ca_talk(pair: Pair, own: Certificates) -> None:
-    """A certificate of the CA opens the port."""
+    """A peer with a certificate of the CA is accepted."""
     assert await pair.async_beat(ClientTls(own.files))
 
 
 async def test_peer_without_certificate_is_refused(
     pair: Pair, own: Certificates
 ) -> None:
-    """To trust the CA is not enough, one must have a certificate of it."""
+    """A peer that trusts the CA also needs a certificate of it."""
     assert not await pair.async_beat(ClientTls(TlsFiles(ca=own.ca)))
     assert not pair.handler.beats
 
 
 async def test_peer_without_tls_is_refused(pair: Pair) -> None:
-    """The port speaks nothing but TLS."""
+    """The port accepts only TLS connections."""
     assert not await pair.async_beat(None)
     assert not pair.handler.beats
 
@@ -130,7 +130,7 @@
 async def test_peer_of_another_ca_is_refused(
     pair: Pair, own: Certificates, other: Certificates
 ) -> None:
-    """A certificate of some other CA does not open the port."""
+    """A peer with a certificate of another CA is rejected."""
     files = TlsFiles(ca=own.ca, cert=other.cert, key=other.key)
     assert not await pair.async_beat(ClientTls(files))
     assert not pair.handler.beats
@@ -139,7 +139,7 @@
 async def test_server_of_another_ca_is_refused(
     pair: Pair, own: Certificates, other: Certificates
 ) -> None:
-    """Nothing is sent to an instance that the CA does not vouch for."""
+    """Nothing is sent to an instance with a certificate of another CA."""
     files = TlsFiles(ca=other.ca, cert=own.cert, key=own.key)
     assert not await pair.async_beat(ClientTls(files))
 
@@ -147,7 +147,7 @@
 async def test_server_of_another_name_is_refused(
     pair: Pair, own: Certificates, server: ServerTls
 ) -> None:
-    """A certificate of the CA is of use only at the address that it names."""
+    """A certificate of the CA is valid only for the address in it."""
     own.replace("127.0.0.9")
     await server.async_refresh()
     assert not await pair.async_beat(ClientTls(own.files))
@@ -156,10 +156,10 @@
 async def test_new_ca_is_in_force_for_new_connections(
     pair: Pair, own: Certificates, server: ServerTls, tmp_path: Path
 ) -> None:
-    """Symptom: instances whose CA was taken out get in until a restart.
+    """Guards against instances of a removed CA that can connect until a restart.
 
-    The port keeps the context it began with; only a connection that is handed to
-    the new one is judged by the new CA.
+    The port keeps its first context; a connection is checked against the new CA only
+    if it is switched to the new context.
     """
     old_cert = NamedFile(flag="old", path=tmp_path / "cert.pem")
     old_key = NamedFile(flag="old", path=tmp_path / "key.pem")
@@ -177,7 +177,7 @@
 async def test_broken_reload_keeps_the_port_open(
     pair: Pair, own: Certificates, server: ServerTls
 ) -> None:
-    """A broken new file changes nothing for others."""
+    """An invalid new file leaves the previous certificates in use."""
     client = ClientTls(own.files)
     own.cert_path.write_text("nonsense")
     await server.async_refresh()
--- a/tests/security/test_ports.py
+++ b/tests/security/test_ports.py
@@ -1,4 +1,4 @@
-"""HTTP ports and connections with TLS."""
+"""Tests for HTTP ports and connections with TLS."""
 
 from __future__ import annotations
 
@@ -27,22 +27,22 @@
 from swiftpin.security.tls_files import TlsFiles
 from tests.security.certificates import Certificates
 
-ANYWHERE = Address(host="127.0.0.1", port=0)
+ANY_PORT = Address(host="127.0.0.1", port=0)
 
 
-class Whole:
+class EmptyBody:
     """A request without a body."""
 
     whole = b""
     length = 0
 
     def chunks(self) -> AsyncIterator[bytes]:
-        """Never be asked."""
+        """Fail, since a request without a body has no chunks."""
         raise AssertionError
 
 
 class Port:
-    """A port that counts what it lets in."""
+    """A port that counts the requests that it serves."""
 
     def __init__(self, tls: ServerTls | None) -> None:
         self.served = 0
@@ -52,17 +52,17 @@
         self.address = ""
 
     async def async_setup(self) -> None:
-        """Listen."""
-        self.address = str(await self._listener.async_setup(ANYWHERE))
+        """Start listening."""
+        self.address = str(await self._listener.async_setup(ANY_PORT))
 
     async def async_unload(self) -> None:
-        """Close."""
+        """Close the port."""
         await self._listener.async_unload()
 
     async def async_call(self, tls: ClientTls | None) -> int:
         """Return the status of an answer over a new connection."""
         client = HttpClient(tls=tls)
-        body: HttpBody = Whole()
+        body: HttpBody = EmptyBody()
         request = HttpRequest(
             method="GET", path="/", headers=CIMultiDict(Host="h"), body=body
         )
@@ -76,14 +76,14 @@
             client.unload()
 
     async def _async_serve(self, request: BaseRequest) -> Response:
-        """Answer."""
+        """Count and answer a request."""
         self.served += 1
         return Response(text="ok")
 
 
 @pytest.fixture
 async def mutual(own: Certificates) -> AsyncIterator[Port]:
-    """Return a port such as instances forward requests to."""
+    """Return a port for forwards, which requires client certificates."""
     port = Port(ServerTls(own.files, ALPN_HTTP))
     await port.async_setup()
     yield port
@@ -93,29 +93,29 @@
 async def test_request_with_certificate_is_served(
     mutual: Port, own: Certificates
 ) -> None:
-    """An instance gets in."""
+    """A request with a certificate of the CA is served."""
     assert await mutual.async_call(ClientTls(own.files)) == 200
 
 
 async def test_request_without_certificate_is_refused(
     mutual: Port, own: Certificates, other: Certificates
 ) -> None:
-    """Neither plain HTTP nor TLS without the right certificate gets in."""
-    strangers = (
+    """Plain HTTP and TLS without a trusted certificate are rejected."""
+    untrusted_clients = (
         None,
         ClientTls(TlsFiles(ca=own.ca)),
         ClientTls(TlsFiles(ca=own.ca, cert=other.cert, key=other.key)),
     )
-    for stranger in strangers:
+    for untrusted_client in untrusted_clients:
         with pytest.raises(ExchangeError):
-            await mutual.async_call(stranger)
+            await mutual.async_call(untrusted_client)
     assert not mutual.served
 
 
 async def test_nothing_is_sent_to_a_server_that_is_not_vouched_for(
     mutual: Port, own: Certificates, other: Certificates
 ) -> None:
-    """A request is told as not sent when the server's certificate is wrong."""
+    """A request to a server with an untrusted certificate is reported as not sent."""
     with pytest.raises(RequestNotSentError):
         await mutual.async_call(ClientTls(other.files))
 
@@ -123,7 +123,7 @@
 async def test_nothing_is_sent_to_a_server_of_another_name(
     own: Certificates,
 ) -> None:
-    """The certificate must name the host that was asked for."""
+    """The certificate must match the requested host."""
     own.replace("127.0.0.9")
     port = Port(ServerTls(TlsFiles(cert=own.cert, key=own.key), ALPN_HTTP))
     await port.async_setup()
@@ -136,26 +136,26 @@
 def test_callers_see_the_new_certificate(
     own: Certificates, run: Callable[..., None]
 ) -> None:
-    """Symptom: callers meet an expired certificate that was replaced long ago."""
+    """Guards against a replaced certificate that is still presented to callers."""
 
-    async def async_look() -> None:
+    async def async_check() -> None:
         tls = ServerTls(TlsFiles(cert=own.cert, key=own.key), ALPN_HTTP)
         port = Port(tls)
         await port.async_setup()
-        before = own.bare_client()
-        await _async_shake_hands(port.address, before)
+        old_context = own.bare_client()
+        await _async_open_connection(port.address, old_context)
         own.change_authority()
         await tls.async_refresh()
         with pytest.raises(SSLError):
-            await _async_shake_hands(port.address, before)
-        await _async_shake_hands(port.address, own.bare_client())
+            await _async_open_connection(port.address, old_context)
+        await _async_open_connection(port.address, own.bare_client())
         await port.async_unload()
 
-    run(async_look())
+    run(async_check())
 
 
 async def test_open_connection_outlives_a_reload(own: Certificates) -> None:
-    """A request in flight does not suffer from a rotation."""
+    """An open connection keeps working while certificates are replaced."""
     tls = ServerTls(TlsFiles(cert=own.cert, key=own.key), ALPN_HTTP)
     port = Port(tls)
     await port.async_setup()
@@ -170,10 +170,10 @@
 
 
 def test_old_protocol_versions_are_refused(own: Certificates) -> None:
-    """Nobody talks a connection down to a version that is known to be weak.
+    """Guards against downgrades to a TLS version that is known to be weak.
 
-    Instances speak 1.3 only, and without tickets: a resumed session shows no
-    certificate, so that one of a CA that was taken out would still get in.
+    Between instances only 1.3 without session tickets is allowed: a resumed session
+    presents no certificate, so an instance of a removed CA could still connect.
     """
     callers = server_context(TlsFiles(cert=own.cert, key=own.key), ALPN_HTTP)
     peers = server_context(own.files, ALPN_HTTP)
@@ -186,7 +186,7 @@
 async def test_silent_handshake_is_cut_off(
     own: Certificates, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Symptom: callers that never finish a handshake use up all sockets."""
+    """Guards against callers that exhaust sockets by never finishing a handshake."""
     monkeypatch.setattr(http_listener, "HANDSHAKE_TIMEOUT", 0.05)
     port = Port(ServerTls(TlsFiles(cert=own.cert, key=own.key), ALPN_HTTP))
     await port.async_setup()
@@ -199,7 +199,7 @@
 
 
 async def test_without_files_ports_speak_plain_http(session: ClientSession) -> None:
-    """Nothing changes for who gives no files."""
+    """Without certificate files the port serves plain HTTP only."""
     port = Port(None)
     await port.async_setup()
     assert await port.async_call(None) == 200
@@ -208,8 +208,8 @@
     await port.async_unload()
 
 
-async def _async_shake_hands(address: str, context: SSLContext) -> None:
-    """Open a connection and close it."""
+async def _async_open_connection(address: str, context: SSLContext) -> None:
+    """Open a TLS connection and close it."""
     host, _, port = address.partition(":")
     _, writer = await asyncio.open_connection(host, int(port), ssl=context)
     writer.close()
--- a/tests/security/test_reloadable.py
+++ b/tests/security/test_reloadable.py
@@ -1,4 +1,4 @@
-"""Files that change while an instance runs."""
+"""Tests for files that change while an instance runs."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 
 def make_token(path: Path) -> BearerToken:
-    """Return the token of a file."""
+    """Return the token from a file."""
     return BearerToken(NamedFile(flag="--store-token-file", path=path))
 
 
 async def test_changed_token_is_read(token_path: Path, messages: Messages) -> None:
-    """A token that was put in place anew is used, and never logged."""
+    """A replaced token is loaded, and its content is never logged."""
     token = make_token(token_path)
     assert token.value == "first"
     put(token_path, b"next1\n")
@@ -43,18 +43,18 @@
 
 
 async def test_unchanged_file_is_not_read(token_path: Path) -> None:
-    """Nothing is made again while the files are as they were."""
+    """The value is not reloaded while the files are unchanged."""
     token = make_token(token_path)
-    before = token.value
+    old_value = token.value
     await token.async_refresh()
-    assert token.value is before
+    assert token.value is old_value
 
 
 @pytest.mark.parametrize("content", [b"", b" \n", b"two lines\nhere", b"caf\xc3\xa9"])
 async def test_broken_token_keeps_the_old_one(
     token_path: Path, messages: Messages, content: bytes
 ) -> None:
-    """What can't be a token is reported once, without its content."""
+    """An invalid token is logged once, without its content."""
     token = make_token(token_path)
     put(token_path, content)
     await token.async_refresh()
@@ -67,7 +67,7 @@
 
 
 def test_broken_token_ends_the_start(token_path: Path) -> None:
-    """The error names the file and not what it holds."""
+    """The error contains the path of the file but not its content."""
     token_path.write_text("se cret")
     with pytest.raises(ConfigurationError) as info:
         make_token(token_path)
@@ -78,7 +78,7 @@
 async def test_missing_file_keeps_the_old_one(
     token_path: Path, messages: Messages
 ) -> None:
-    """A file that is gone for a moment does no harm, and its return is noticed."""
+    """The value is kept while its file is missing and reloaded when it is back."""
     token = make_token(token_path)
     os.unlink(token_path)
     await token.async_refresh()
@@ -91,32 +91,32 @@
 async def test_half_replaced_pair_is_read_once_it_matches(
     own: Certificates, messages: Messages
 ) -> None:
-    """Symptom: a rotated certificate is never taken up.
+    """Guards against a rotated certificate that is never loaded.
 
-    The files are looked at after the certificate was replaced and before its key
-    was; the pair does not match and the old one stays. The key's change must show
-    as a new one.
+    The files are checked after the certificate was replaced but before its key was;
+    the pair does not match and the old one is kept. The replaced key must then be
+    detected as another change.
     """
     tls = ClientTls(own.files)
-    before = tls.context
+    old_value = tls.context
     old_key = own.key_path.read_bytes()
     own.replace()
     new_key = own.key_path.read_bytes()
     put(own.key_path, old_key)
     await tls.async_refresh()
-    assert tls.context is before
+    assert tls.context is old_value
     put(own.key_path, new_key)
     await tls.async_refresh()
-    assert tls.context is not before
-    kinds = [item["message_type"] for item in messages]
-    assert kinds == ["credentials_kept", "credentials_reloaded"]
+    assert tls.context is not old_value
+    message_types = [item["message_type"] for item in messages]
+    assert message_types == ["credentials_kept", "credentials_reloaded"]
     assert new_key.splitlines()[1].decode() not in str(messages)
 
 
 async def test_files_are_looked_at_again_and_again(
     token_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A running reloader needs no call."""
+    """A running reloader detects changes on its own."""
     monkeypatch.setattr(reloader_module, "RELOAD_INTERVAL", 0.001)
     token = make_token(token_path)
     reloader = Reloader([token])
--- a/tests/security/test_settings_files.py
+++ b/tests/security/test_settings_files.py
@@ -1,4 +1,4 @@
-"""Files named by settings, of daemon and command."""
+"""Tests for file settings of the daemon and the command line."""
 
 from __future__ import annotations
 
@@ -63,14 +63,14 @@
 def test_files_that_lack_others_are_named(
     changes: dict[str, str], message: str
 ) -> None:
-    """One line tells which flag is missing for which."""
+    """The error says which flag is missing and which flag requires it."""
     with pytest.raises(ConfigurationError) as info:
         load_settings(arguments(changes), {})
     assert str(info.value) == message
 
 
 def test_files_may_come_from_the_environment() -> None:
-    """Each flag is a variable too."""
+    """Each flag can also be set by an environment variable."""
     environment = {"SWIFTPIN_STORE_TOKEN_FILE": "/run/token"}
     settings = load_settings(arguments(), environment)
     assert settings.store_token_file == Path("/run/token")
@@ -78,7 +78,7 @@
 
 
 def test_broken_file_ends_the_start(own: Certificates, tmp_path: Path) -> None:
-    """The daemon leaves with one line and status 2."""
+    """The daemon exits with one line of error and status 2."""
     token = tmp_path / "token"
     token.write_text(f"{SECRET} and more")
     peer = {
@@ -90,21 +90,21 @@
         ("--peer-tls-key", peer),
         ("--store-token-file", {"--store-token-file": str(token)}),
     ):
-        done = subprocess.run(
+        process = subprocess.run(
             [sys.executable, "-m", "swiftpin.gateway", *arguments(changes)],
             capture_output=True,
             text=True,
             timeout=60,
             check=False,
         )
-        assert done.returncode == EXIT_SETTINGS
-        (line,) = done.stderr.splitlines()
+        assert process.returncode == EXIT_SETTINGS
+        (line,) = process.stderr.splitlines()
         assert line.startswith(f"swiftpin-gateway: {flag} {changes[flag]!r}: ")
-        assert SECRET not in done.stdout + done.stderr
+        assert SECRET not in process.stdout + process.stderr
 
 
 def parse(own: Certificates, url: str, token: Path, *command: str) -> Namespace:
-    """Return the arguments of an operator whose environment names the token."""
+    """Return an operator's arguments; the environment sets the token file."""
     parser = build_parser({"SWIFTPIN_STORE_TOKEN_FILE": str(token)})
     flags = ["--store-url", url, "--store-tls-ca", str(own.ca_path)]
     flags += ["--store-tls-cert", str(own.cert_path)]
@@ -115,7 +115,7 @@
 async def test_operator_writes_through_a_guarded_store(
     own: Certificates, tmp_path: Path
 ) -> None:
-    """The command shows certificate and token; without them it says so."""
+    """The command sends certificate and token, and reports when one is invalid."""
     store = GuardedStore()
     store.ssl_context = server_context(own.files, "http/1.1")
     await store.async_start()
@@ -138,7 +138,7 @@
 async def test_operator_is_told_what_is_missing(
     own: Certificates, session: ClientSession, tmp_path: Path
 ) -> None:
-    """A CA with a URL that is not secure is refused before anything is sent."""
+    """A CA with an `http://` URL is refused before anything is sent."""
     token = tmp_path / "token"
     token.write_text(SECRET)
     args = parse(own, "http://127.0.0.1:1", token, "get")
--- a/tests/security/test_slow_callers.py
+++ b/tests/security/test_slow_callers.py
@@ -1,4 +1,4 @@
-"""Callers that feed their requests byte by byte."""
+"""Tests for callers that send their requests byte by byte."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 from tests.gateway.raw_caller import RawCaller
 from tests.gateway.scripted_server import ScriptedServer
 
-PACE = 0.01
-PATIENCE = 20.0
+SEND_INTERVAL = 0.01
+READ_TIMEOUT = 20.0
 
 
 @asynccontextmanager
-async def dripping(caller: RawCaller, byte: bytes) -> AsyncIterator[None]:
-    """Send a byte now and then, without an end."""
+async def sending_slowly(caller: RawCaller, byte: bytes) -> AsyncIterator[None]:
+    """Keep sending a byte at short intervals within the context."""
 
-    async def async_drip() -> None:
+    async def async_send_repeatedly() -> None:
         while True:
             await caller.async_send_raw(byte)
-            await asyncio.sleep(PACE)
+            await asyncio.sleep(SEND_INTERVAL)
 
-    task = asyncio.create_task(async_drip())
+    task = asyncio.create_task(async_send_repeatedly())
     try:
         yield
     finally:
@@ -39,31 +39,31 @@
 
 
 async def _async_answer(request: BaseRequest) -> Response:
-    """Answer."""
+    """Answer every request."""
     return Response(text="ok")
 
 
-@pytest.mark.parametrize("before", [b"", b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"])
+@pytest.mark.parametrize("first_request", [b"", b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"])
 async def test_slow_head_is_cut_off(
-    monkeypatch: pytest.MonkeyPatch, before: bytes
+    monkeypatch: pytest.MonkeyPatch, first_request: bytes
 ) -> None:
-    """Symptom: a few machines with many connections keep every caller out.
+    """Guards against a few clients that occupy all connections (Slowloris attack).
 
-    Each connection sends a header without an end, a byte at a time, at its beginning
-    or after a request that was served.
+    Each connection sends an endless header byte by byte, as its first request or
+    after a request that was served.
     """
     monkeypatch.setattr(http_listener, "IDLE_LIMIT", 0.1)
     listener = HttpListener(_async_answer, max_line=8192, max_headers=64)
     address = await listener.async_setup(Address(host="127.0.0.1", port=0))
     caller = RawCaller(str(address))
     await caller.async_setup()
-    if before:
-        await caller.async_send_raw(before)
+    if first_request:
+        await caller.async_send_raw(first_request)
         await caller.async_read()
     await caller.async_send_raw(b"GET / HTTP/1.1\r\nX-Slow: ")
-    async with dripping(caller, b"x"):
+    async with sending_slowly(caller, b"x"):
         try:
-            rest = await asyncio.wait_for(caller.reader.read(), PATIENCE)
+            rest = await asyncio.wait_for(caller.reader.read(), READ_TIMEOUT)
         except ConnectionError:
             rest = b""
     assert rest == b""
@@ -72,17 +72,17 @@
 
 
 async def test_slow_body_is_cut_off(caller: RawCaller, target: ScriptedServer) -> None:
-    """Symptom: callers that feed bodies byte by byte hold all places.
+    """Guards against callers that occupy all slots by sending bodies byte by byte.
 
-    Each byte comes within the limit for a stall; what ends the request is its
-    deadline, and nothing was sent on by then.
+    Each byte arrives within the idle timeout, so the request's deadline must end it.
+    No part of it is forwarded to the target.
     """
     await caller.async_send(
         "POST",
         headers="Swiftpin-Timeout: 200\r\nContent-Length: 1000000\r\n",
     )
-    async with dripping(caller, b"x"):
-        answer = await asyncio.wait_for(caller.async_read(), PATIENCE)
+    async with sending_slowly(caller, b"x"):
+        answer = await asyncio.wait_for(caller.async_read(), READ_TIMEOUT)
     assert answer.result == ResultCode.DEADLINE_TOO_SHORT
     assert answer.error["executed"] == "no"
     assert answer.headers_by_name["connection"] == "close"
@@ -92,15 +92,15 @@
 async def test_slow_body_of_a_refused_request_is_cut_off(
     gateway: GatewayFixture,
 ) -> None:
-    """A refused request's body is not read on and on."""
+    """The body of a refused request is not read without limit."""
     gateway._listener._server._kwargs["lingering_time"] = 0.1
     caller = RawCaller(gateway.address)
     await caller.async_setup()
     await caller.async_send("POST", "/nothing/a", headers="Content-Length: 1000000\r\n")
-    async with dripping(caller, b"x"):
+    async with sending_slowly(caller, b"x"):
         answer = await caller.async_read()
         try:
-            rest = await asyncio.wait_for(caller.reader.read(), PATIENCE)
+            rest = await asyncio.wait_for(caller.reader.read(), READ_TIMEOUT)
         except ConnectionError:
             rest = b""
     assert answer.result == ResultCode.UNKNOWN_SERVICE
--- a/tests/security/test_store_access.py
+++ b/tests/security/test_store_access.py
@@ -1,4 +1,4 @@
-"""How instances and operators show themselves to the store."""
+"""Tests for the authentication of instances and operators to the store."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 
 class GuardedStore(StoreStandin):
-    """Store that lets only calls with its token in."""
+    """Store that accepts only calls with its token."""
 
     def __init__(self) -> None:
         super().__init__()
         self.token = SECRET
 
     async def _async_call(self, request: BaseRequest) -> StreamResponse:
-        """Refuse calls without the token."""
+        """Reject calls without the token."""
         if request.headers.get("Authorization") != f"Bearer {self.token}":
             return Response(status=401)
         return await super()._async_call(request)
@@ -38,7 +38,7 @@
 
 @pytest.fixture
 async def store() -> AsyncIterator[GuardedStore]:
-    """Return a running store that wants a token."""
+    """Return a running store that requires a token."""
     running = GuardedStore()
     await running.async_start()
     yield running
@@ -53,16 +53,16 @@
     return path
 
 
-def by_token(path: Path) -> StoreAccess:
-    """Return access by a token alone."""
+def token_access(path: Path) -> StoreAccess:
+    """Return access with a token and without TLS."""
     return load_store_access(ca=None, cert=None, key=None, token=path)
 
 
 async def test_each_call_carries_the_token(
     store: GuardedStore, session: ClientSession, token_path: Path
 ) -> None:
-    """Reads, writes, lists, watches and deletes are let in."""
-    client = StoreClient(session, store.url, access=by_token(token_path))
+    """Reads, writes, lists, watches and deletes all send the token."""
+    client = StoreClient(session, store.url, access=token_access(token_path))
     version = await client.async_put("a", b"1")
     assert await client.async_put("a", b"2", expect=version) > version
     assert await client.async_get("a") is not None
@@ -74,8 +74,8 @@
 async def test_replaced_token_is_sent(
     store: GuardedStore, session: ClientSession, token_path: Path
 ) -> None:
-    """A token that the store has replaced is replaced here without a restart."""
-    access = by_token(token_path)
+    """A replaced token is sent without a restart."""
+    access = token_access(token_path)
     client = StoreClient(session, store.url, access=access)
     store.token = "another"
     with pytest.raises(StoreUnavailableError, match="401"):
@@ -89,7 +89,7 @@
 async def test_store_is_called_without_a_token_unless_told(
     store: GuardedStore, session: ClientSession
 ) -> None:
-    """Nothing is sent by default."""
+    """No token is sent by default."""
     with pytest.raises(StoreUnavailableError, match="401"):
         await StoreClient(session, store.url).async_get("a")
 
@@ -105,10 +105,10 @@
 async def test_errors_do_not_repeat_the_token(
     session: ClientSession, token_path: Path, answer: bytes
 ) -> None:
-    """Symptom: the token stands in the log.
+    """Guards against tokens in the log.
 
-    The store's answer is no HTTP, or leads from one place to the next; the library
-    describes such errors with all headers of the request.
+    The store's answer is invalid HTTP or an endless redirect; aiohttp describes such
+    errors with all headers of the request.
     """
 
     async def async_serve(
@@ -120,7 +120,7 @@
     server = await asyncio.start_server(async_serve, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()
     client = StoreClient(
-        session, f"http://{host}:{port}", access=by_token(token_path), timeout=5.0
+        session, f"http://{host}:{port}", access=token_access(token_path), timeout=5.0
     )
     with pytest.raises(StoreUnavailableError) as info:
         await client.async_get("a")
@@ -132,7 +132,7 @@
 async def test_store_of_another_ca_gets_no_call(
     session: ClientSession, own: Certificates, other: Certificates
 ) -> None:
-    """A write to a store that is not vouched for certainly had no effect."""
+    """A write to a store with a certificate of another CA fails without effect."""
     standin = StoreStandin()
     standin.ssl_context = server_context(own.files, "http/1.1")
     await standin.async_start()
@@ -155,7 +155,7 @@
 async def test_store_may_demand_a_certificate(
     session: ClientSession, own: Certificates
 ) -> None:
-    """Without a certificate of ours a store that wants one answers nothing."""
+    """A store that requires a client certificate rejects calls without one."""
     standin = StoreStandin()
     standin.ssl_context = server_context(own.files, "http/1.1")
     await standin.async_start()
--- a/tests/security/test_tls_context.py
+++ b/tests/security/test_tls_context.py
@@ -1,4 +1,4 @@
-"""Files that are wrong at the start."""
+"""Tests for invalid certificate and key files."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 
 
 def check_refused(own: Certificates, path: Path, flag: str) -> None:
-    """Assert that client and server name flag and file, and no more of the key."""
-    secret = path.read_text().splitlines()[1:2] if path.is_file() else []
-    for make in (client_context, lambda files: server_context(files, "h2")):
+    """Assert that the errors contain flag and path but nothing of the content."""
+    secret_lines = path.read_text().splitlines()[1:2] if path.is_file() else []
+    for create_context in (client_context, lambda files: server_context(files, "h2")):
         with pytest.raises(ConfigurationError) as info:
-            make(own.files)
+            create_context(own.files)
         message = str(info.value)
         assert message.startswith(f"{flag} {str(path)!r}: ")
         assert "\n" not in message
-        assert not any(line in message for line in secret)
+        assert not any(line in message for line in secret_lines)
 
 
 @pytest.mark.parametrize("name", ["ca", "cert", "key"])
 def test_file_that_is_not_there_is_named(own: Certificates, name: str) -> None:
-    """A path that leads nowhere is told as such."""
+    """The error for a missing file contains flag and path."""
     path: Path = getattr(own, f"{name}_path")
     path.unlink()
     check_refused(own, path, f"--peer-tls-{name}")
@@ -42,14 +42,14 @@
 def test_file_of_something_else_is_named(
     own: Certificates, name: str, content: str
 ) -> None:
-    """What is no PEM is refused."""
+    """A file that is not PEM is refused."""
     path: Path = getattr(own, f"{name}_path")
     path.write_text(content)
     check_refused(own, path, f"--peer-tls-{name}")
 
 
 def test_directory_is_named(own: Certificates) -> None:
-    """A directory can't be read."""
+    """A directory in place of a file is refused."""
     own.ca_path.unlink()
     own.ca_path.mkdir()
     check_refused(own, own.ca_path, "--peer-tls-ca")
@@ -58,13 +58,13 @@
 def test_key_of_another_certificate_is_refused(
     own: Certificates, other: Certificates
 ) -> None:
-    """Certificate and key must belong together."""
+    """The key must match the certificate."""
     own.key_path.write_bytes(other.key_path.read_bytes())
     check_refused(own, own.key_path, "--peer-tls-key")
 
 
 def test_key_with_a_passphrase_is_refused_without_asking(own: Certificates) -> None:
-    """Symptom: a daemon hangs at its start, waiting at a terminal nobody looks at."""
+    """Guards against a start that hangs at a passphrase prompt."""
     key = load_pem_private_key(own.key_path.read_bytes(), None)
     own.key_path.write_bytes(
         key.private_bytes(
--- a/tests/security/test_whole_instance.py
+++ b/tests/security/test_whole_instance.py
@@ -1,4 +1,4 @@
-"""Whole instances with TLS at every border."""
+"""Tests for complete instances with TLS on every connection."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 async def world(session: ClientSession, tmp_path: Path) -> AsyncIterator[SecuredWorld]:
-    """Return two instances that serve."""
+    """Return two instances that serve requests."""
     running = SecuredWorld(session, tmp_path)
     await running.async_setup()
     await async_until(running.async_is_served)
@@ -25,9 +25,11 @@
 
 
 async def test_requests_pass_every_border(world: SecuredWorld) -> None:
-    """Both instances answer, the one without the lease by way of the other."""
-    held = [gateway._status.document()["groups_held"] for gateway in world.gateways]
-    assert sorted(len(groups) for groups in held) == [0, 1]
+    """Both instances answer; the one without the lease forwards to the other."""
+    groups_by_instance = [
+        gateway._status.document()["groups_held"] for gateway in world.gateways
+    ]
+    assert sorted(len(groups) for groups in groups_by_instance) == [0, 1]
     for gateway in world.gateways:
         answer = await world.async_call(gateway, "k2")
         assert answer.status == 200
@@ -37,7 +39,7 @@
 
 
 async def test_large_answers_arrive_whole(world: SecuredWorld) -> None:
-    """What does not fit one record of TLS, or one read, is put together again."""
+    """Answers that exceed a TLS record or a single read arrive complete."""
     for gateway in world.gateways:
         async with world.session.get(
             f"https://{gateway.listeners.callers}/desk/bundle/1000000",
@@ -49,10 +51,11 @@
 
 
 async def test_rotation_goes_unnoticed(world: SecuredWorld) -> None:
-    """Symptom: after a rotation instances answer only once they are restarted.
+    """Guards against instances that need a restart after a rotation.
 
-    Every certificate of instances is replaced by one of a new CA, and the store's
-    token by another; both instances look at their files; requests and writes go on.
+    The certificates for peers and callers are replaced by those of new CAs, and the
+    store's token by another one. Both instances reload their files; requests and
+    writes must still succeed.
     """
     world.peers.change_authority()
     world.of_callers.change_authority()
@@ -67,7 +70,7 @@
 
 
 async def test_strangers_do_not_get_in(world: SecuredWorld) -> None:
-    """Neither port for instances answers without a certificate."""
+    """The ports for instances reject clients without a certificate."""
     for gateway in world.gateways:
         for address in (gateway.listeners.forwards, gateway.settings.peer_listen):
             for url in (f"http://{address}/desk/a", f"https://{address}/desk/a"):
@@ -76,12 +79,12 @@
 
 
 async def test_log_holds_neither_token_nor_key(world: SecuredWorld) -> None:
-    """What was logged until the stop holds no secret."""
+    """The complete log contains neither the token nor the key."""
     key_line = world.peers.key_path.read_text().splitlines()[1]
     put(world.peers.key_path, b"broken")
     for gateway in world.gateways:
         await gateway._security.reloader.async_refresh()
-    written = world.read_logs()
-    assert "event=credentials_kept" in written
-    assert SECRET not in written
-    assert key_line not in written
+    log = world.read_logs()
+    assert "event=credentials_kept" in log
+    assert SECRET not in log
+    assert key_line not in log
