--- a/tests/security/certificates.py
+++ b/tests/security/certificates.py
@@ -53,18 +53,18 @@
     def replace(self, host: str = HOST) -> None:
         """Issue a new certificate and key, and replace each file atomically."""
         issued = self._authority.issue_cert(host)
-        put(self.cert_path, issued.cert_chain_pems[0].bytes())
-        put(self.key_path, issued.private_key_pem.bytes())
-        put(self.ca_path, self._authority.cert_pem.bytes())
+        replace_file(self.cert_path, issued.cert_chain_pems[0].bytes())
+        replace_file(self.key_path, issued.private_key_pem.bytes())
+        replace_file(self.ca_path, self._authority.cert_pem.bytes())
 
-    def bare_client(self) -> SSLContext:
+    def context_without_certificate(self) -> SSLContext:
         """Return a context that trusts the CA and has no client certificate."""
         context = SSLContext(PROTOCOL_TLS_CLIENT)
         context.load_verify_locations(cafile=self.ca_path)
         return context
 
 
-def put(path: Path, content: bytes) -> None:
+def replace_file(path: Path, content: bytes) -> None:
     """Replace a file atomically."""
     new_path = path.with_suffix(".new")
     new_path.write_bytes(content)
--- a/tests/security/secured_world.py
+++ b/tests/security/secured_world.py
@@ -33,7 +33,7 @@
 
 
 class SecuredWorld:
-    """TLS-only stand-ins, two instances and their logs.
+    """Store and targets that require TLS, two instances and their logs.
 
     The store and the targets require client certificates. Peers, callers, store and
     targets have a separate CA each.
@@ -43,17 +43,21 @@
         self.session = session
         self.token_path = directory / "token"
         self.token_path.write_text(SECRET)
-        self.peers = Certificates(directory / "peers")
-        self.stores = Certificates(directory / "stores")
-        self.of_targets = Certificates(directory / "targets")
-        self.of_callers = Certificates(directory / "callers")
+        self.peer_certificates = Certificates(directory / "peers")
+        self.store_certificates = Certificates(directory / "stores")
+        self.target_certificates = Certificates(directory / "targets")
+        self.caller_certificates = Certificates(directory / "callers")
         self.store = GuardedStore()
-        self.store.ssl_context = server_context(self.stores.files, "http/1.1")
+        self.store.ssl_context = server_context(
+            self.store_certificates.files, "http/1.1"
+        )
         self.instances = InstancesStandin()
         self.targets = [TargetStandin(TargetOptions(name=name)) for name in TARGETS]
         for target in self.targets:
-            target.ssl_context = server_context(self.of_targets.files, "http/1.1")
-        self.caller_context = self.of_callers.bare_client()
+            target.ssl_context = server_context(
+                self.target_certificates.files, "http/1.1"
+            )
+        self.caller_context = self.caller_certificates.context_without_certificate()
         self.gateways: list[Gateway] = []
         self.logs: list[io.BytesIO] = []
         self._ports = PortAllocator()
@@ -66,7 +70,7 @@
             await target.async_start()
         for name in INSTANCES:
             await self._async_start(name)
-        await self._async_apply_desk()
+        await self._async_configure_service()
 
     async def async_unload(self) -> None:
         """Stop everything."""
@@ -122,18 +126,18 @@
             store_url=self.store.url,
             instances_url=self.instances.url,
             stop_limit=10.0,
-            listen_tls_cert=self.of_callers.cert_path,
-            listen_tls_key=self.of_callers.key_path,
-            peer_tls_cert=self.peers.cert_path,
-            peer_tls_key=self.peers.key_path,
-            peer_tls_ca=self.peers.ca_path,
-            store_tls_ca=self.stores.ca_path,
-            store_tls_cert=self.stores.cert_path,
-            store_tls_key=self.stores.key_path,
+            listen_tls_cert=self.caller_certificates.cert_path,
+            listen_tls_key=self.caller_certificates.key_path,
+            peer_tls_cert=self.peer_certificates.cert_path,
+            peer_tls_key=self.peer_certificates.key_path,
+            peer_tls_ca=self.peer_certificates.ca_path,
+            store_tls_ca=self.store_certificates.ca_path,
+            store_tls_cert=self.store_certificates.cert_path,
+            store_tls_key=self.store_certificates.key_path,
             store_token_file=self.token_path,
-            targets_tls_ca=self.of_targets.ca_path,
-            targets_tls_cert=self.of_targets.cert_path,
-            targets_tls_key=self.of_targets.key_path,
+            targets_tls_ca=self.target_certificates.ca_path,
+            targets_tls_cert=self.target_certificates.cert_path,
+            targets_tls_key=self.target_certificates.key_path,
         )
         logging = LoggingSetup(log, "info")
         logging.setup()
@@ -141,7 +145,7 @@
         self.gateways.append(gateway)
         await gateway.async_setup()
 
-    async def _async_apply_desk(self) -> None:
+    async def _async_configure_service(self) -> None:
         """Configure a keyed service through the store client of an instance."""
         name = ConfigName(kind=ConfigKind.SERVICE, name="desk")
         document: dict[str, Any] = {
--- a/tests/security/test_peer_port.py
+++ b/tests/security/test_peer_port.py
@@ -58,7 +58,7 @@
         member.set_tls(None, self._server)
         await member.async_setup()
 
-    async def async_beat(self, client: ClientTls | None) -> bool:
+    async def async_try_heartbeat(self, client: ClientTls | None) -> bool:
         """Return whether a heartbeat over a new connection is accepted."""
         member = self._create_member("a", "127.0.0.1:0")
         member.set_tls(client, None)
@@ -110,20 +110,20 @@
 
 async def test_instances_of_one_ca_talk(pair: Pair, own: Certificates) -> None:
     """A peer with a certificate of the CA is accepted."""
-    assert await pair.async_beat(ClientTls(own.files))
+    assert await pair.async_try_heartbeat(ClientTls(own.files))
 
 
 async def test_peer_without_certificate_is_refused(
     pair: Pair, own: Certificates
 ) -> None:
     """A peer that trusts the CA also needs a certificate of it."""
-    assert not await pair.async_beat(ClientTls(TlsFiles(ca=own.ca)))
+    assert not await pair.async_try_heartbeat(ClientTls(TlsFiles(ca=own.ca)))
     assert not pair.handler.beats
 
 
 async def test_peer_without_tls_is_refused(pair: Pair) -> None:
     """The port accepts only TLS connections."""
-    assert not await pair.async_beat(None)
+    assert not await pair.async_try_heartbeat(None)
     assert not pair.handler.beats
 
 
@@ -132,7 +132,7 @@
 ) -> None:
     """A peer with a certificate of another CA is rejected."""
     files = TlsFiles(ca=own.ca, cert=other.cert, key=other.key)
-    assert not await pair.async_beat(ClientTls(files))
+    assert not await pair.async_try_heartbeat(ClientTls(files))
     assert not pair.handler.beats
 
 
@@ -141,7 +141,7 @@
 ) -> None:
     """Nothing is sent to an instance with a certificate of another CA."""
     files = TlsFiles(ca=other.ca, cert=own.cert, key=own.key)
-    assert not await pair.async_beat(ClientTls(files))
+    assert not await pair.async_try_heartbeat(ClientTls(files))
 
 
 async def test_server_of_another_name_is_refused(
@@ -150,7 +150,7 @@
     """A certificate of the CA is valid only for the address in it."""
     own.replace("127.0.0.9")
     await server.async_refresh()
-    assert not await pair.async_beat(ClientTls(own.files))
+    assert not await pair.async_try_heartbeat(ClientTls(own.files))
 
 
 async def test_new_ca_is_in_force_for_new_connections(
@@ -167,10 +167,10 @@
     old_key.path.write_bytes(own.key_path.read_bytes())
     own.change_authority()
     await server.async_refresh()
-    assert await pair.async_beat(ClientTls(own.files))
+    assert await pair.async_try_heartbeat(ClientTls(own.files))
     pair.handler.beats.clear()
     files = TlsFiles(ca=own.ca, cert=old_cert, key=old_key)
-    assert not await pair.async_beat(ClientTls(files))
+    assert not await pair.async_try_heartbeat(ClientTls(files))
     assert not pair.handler.beats
 
 
@@ -181,4 +181,4 @@
     client = ClientTls(own.files)
     own.cert_path.write_text("nonsense")
     await server.async_refresh()
-    assert await pair.async_beat(client)
+    assert await pair.async_try_heartbeat(client)
--- a/tests/security/test_ports.py
+++ b/tests/security/test_ports.py
@@ -82,7 +82,7 @@
 
 
 @pytest.fixture
-async def mutual(own: Certificates) -> AsyncIterator[Port]:
+async def mutual_tls_port(own: Certificates) -> AsyncIterator[Port]:
     """Return a port for forwards, which requires client certificates."""
     port = Port(ServerTls(own.files, ALPN_HTTP))
     await port.async_setup()
@@ -91,14 +91,14 @@
 
 
 async def test_request_with_certificate_is_served(
-    mutual: Port, own: Certificates
+    mutual_tls_port: Port, own: Certificates
 ) -> None:
     """A request with a certificate of the CA is served."""
-    assert await mutual.async_call(ClientTls(own.files)) == 200
+    assert await mutual_tls_port.async_call(ClientTls(own.files)) == 200
 
 
 async def test_request_without_certificate_is_refused(
-    mutual: Port, own: Certificates, other: Certificates
+    mutual_tls_port: Port, own: Certificates, other: Certificates
 ) -> None:
     """Plain HTTP and TLS without a trusted certificate are rejected."""
     untrusted_clients = (
@@ -108,16 +108,16 @@
     )
     for untrusted_client in untrusted_clients:
         with pytest.raises(ExchangeError):
-            await mutual.async_call(untrusted_client)
-    assert not mutual.served
+            await mutual_tls_port.async_call(untrusted_client)
+    assert not mutual_tls_port.served
 
 
 async def test_nothing_is_sent_to_a_server_that_is_not_vouched_for(
-    mutual: Port, own: Certificates, other: Certificates
+    mutual_tls_port: Port, own: Certificates, other: Certificates
 ) -> None:
     """A request to a server with an untrusted certificate is reported as not sent."""
     with pytest.raises(RequestNotSentError):
-        await mutual.async_call(ClientTls(other.files))
+        await mutual_tls_port.async_call(ClientTls(other.files))
 
 
 async def test_nothing_is_sent_to_a_server_of_another_name(
@@ -142,13 +142,13 @@
         tls = ServerTls(TlsFiles(cert=own.cert, key=own.key), ALPN_HTTP)
         port = Port(tls)
         await port.async_setup()
-        old_context = own.bare_client()
+        old_context = own.context_without_certificate()
         await _async_open_connection(port.address, old_context)
         own.change_authority()
         await tls.async_refresh()
         with pytest.raises(SSLError):
             await _async_open_connection(port.address, old_context)
-        await _async_open_connection(port.address, own.bare_client())
+        await _async_open_connection(port.address, own.context_without_certificate())
         await port.async_unload()
 
     run(async_check())
@@ -160,7 +160,7 @@
     port = Port(tls)
     await port.async_setup()
     async with ClientSession() as session:
-        context = own.bare_client()
+        context = own.context_without_certificate()
         for _ in range(2):
             async with session.get(f"https://{port.address}/", ssl=context) as answer:
                 assert answer.status == 200
--- a/tests/security/test_reloadable.py
+++ b/tests/security/test_reloadable.py
@@ -14,7 +14,7 @@
 from swiftpin.security.named_file import NamedFile
 from swiftpin.security.reloader import Reloader
 from tests.gateway.test_app import async_until
-from tests.security.certificates import Certificates, put
+from tests.security.certificates import Certificates, replace_file
 from tests.security.conftest import Messages
 
 
@@ -35,7 +35,7 @@
     """A replaced token is loaded, and its content is never logged."""
     token = make_token(token_path)
     assert token.value == "first"
-    put(token_path, b"next1\n")
+    replace_file(token_path, b"next1\n")
     await token.async_refresh()
     assert token.value == "next1"
     assert [item["message_type"] for item in messages] == ["credentials_reloaded"]
@@ -56,7 +56,7 @@
 ) -> None:
     """An invalid token is logged once, without its content."""
     token = make_token(token_path)
-    put(token_path, content)
+    replace_file(token_path, content)
     await token.async_refresh()
     await token.async_refresh()
     assert token.value == "first"
@@ -83,7 +83,7 @@
     os.unlink(token_path)
     await token.async_refresh()
     assert token.value == "first"
-    put(token_path, b"second")
+    replace_file(token_path, b"second")
     await token.async_refresh()
     assert token.value == "second"
 
@@ -102,10 +102,10 @@
     old_key = own.key_path.read_bytes()
     own.replace()
     new_key = own.key_path.read_bytes()
-    put(own.key_path, old_key)
+    replace_file(own.key_path, old_key)
     await tls.async_refresh()
     assert tls.context is old_value
-    put(own.key_path, new_key)
+    replace_file(own.key_path, new_key)
     await tls.async_refresh()
     assert tls.context is not old_value
     message_types = [item["message_type"] for item in messages]
@@ -125,6 +125,6 @@
     async def async_is_read() -> bool:
         return token.value == "second"
 
-    put(token_path, b"second")
+    replace_file(token_path, b"second")
     await async_until(async_is_read)
     await reloader.async_unload()
--- a/tests/security/test_store_access.py
+++ b/tests/security/test_store_access.py
@@ -17,7 +17,7 @@
 from swiftpin.security.tls_context import server_context
 from swiftpin.standins.store_standin import StoreStandin
 from swiftpin.store.client import StoreClient
-from tests.security.certificates import Certificates, put
+from tests.security.certificates import Certificates, replace_file
 
 SECRET = "s3cret-token"
 
@@ -80,7 +80,7 @@
     store.token = "another"
     with pytest.raises(StoreUnavailableError, match="401"):
         await client.async_get("a")
-    put(token_path, b"another")
+    replace_file(token_path, b"another")
     assert access.token is not None
     await access.token.async_refresh()
     assert await client.async_get("a") is None
--- a/tests/security/test_whole_instance.py
+++ b/tests/security/test_whole_instance.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.gateway.test_app import async_until
-from tests.security.certificates import put
+from tests.security.certificates import replace_file
 from tests.security.secured_world import SecuredWorld
 from tests.security.test_store_access import SECRET
 
@@ -57,14 +57,14 @@
     store's token by another one. Both instances reload their files; requests and
     writes must still succeed.
     """
-    world.peers.change_authority()
-    world.of_callers.change_authority()
+    world.peer_certificates.change_authority()
+    world.caller_certificates.change_authority()
     world.store.token = "another"
-    put(world.token_path, b"another")
+    replace_file(world.token_path, b"another")
     for gateway in world.gateways:
         await gateway._security.reloader.async_refresh()
         gateway._serving._peer_client.unload()
-    world.caller_context = world.of_callers.bare_client()
+    world.caller_context = world.caller_certificates.context_without_certificate()
     await async_until(world.async_is_served)
     await world.gateways[0]._store.async_put("x", b"1")
 
@@ -75,13 +75,15 @@
         for address in (gateway.listeners.forwards, gateway.settings.peer_listen):
             for url in (f"http://{address}/desk/a", f"https://{address}/desk/a"):
                 with pytest.raises(ClientError):
-                    await world.session.get(url, ssl=world.peers.bare_client())
+                    await world.session.get(
+                        url, ssl=world.peer_certificates.context_without_certificate()
+                    )
 
 
 async def test_log_holds_neither_token_nor_key(world: SecuredWorld) -> None:
     """The complete log contains neither the token nor the key."""
-    key_line = world.peers.key_path.read_text().splitlines()[1]
-    put(world.peers.key_path, b"broken")
+    key_line = world.peer_certificates.key_path.read_text().splitlines()[1]
+    replace_file(world.peer_certificates.key_path, b"broken")
     for gateway in world.gateways:
         await gateway._security.reloader.async_refresh()
     log = world.read_logs()
