--- a/swiftpin/keyranges/target_session.py
+++ b/swiftpin/keyranges/target_session.py
@@ -30,12 +30,12 @@
 class TargetSession:
     """Tracks one target's answers and the time until which it may hold keys.
 
-    A target that was restarted under its name answers calls that were meant for its
-    earlier life. It would accept a renewal, since it has seen no fence. Two lives would
-    then hold the same keys under the same fence, and a delayed grant for the earlier
-    life would be as valid as one for the new life. A connection leads to one life only,
-    so each fence is sent over one connection only: a target behind a new connection
-    gets a fence above all earlier ones.
+    A target that was restarted under the same name answers calls that were meant for
+    its earlier life. It would also accept a renewal, since it has not seen any fence.
+    Both lives would then hold the same keys under the same fence, and a delayed grant
+    for the earlier life would be as valid as one for the new life. A connection reaches
+    only one life, so each fence is sent over only one connection: calls over a new
+    connection use a fence above all earlier ones.
     """
 
     def __init__(self) -> None:
@@ -67,18 +67,18 @@
         The fence that was last sent for the segment is reused if it was sent over the
         same connection; otherwise a new one is allocated.
         """
-        sent = self._sent_fences_by_segment.get(segment_fence)
-        if sent is None or sent.connection != connection:
-            sent = SentFence(fence=allocate_fence(), connection=connection)
-            self._sent_fences_by_segment[segment_fence] = sent
+        sent_fence = self._sent_fences_by_segment.get(segment_fence)
+        if sent_fence is None or sent_fence.connection != connection:
+            sent_fence = SentFence(fence=allocate_fence(), connection=connection)
+            self._sent_fences_by_segment[segment_fence] = sent_fence
         self.grant_connection = connection
-        return sent.fence
+        return sent_fence.fence
 
     @callback
     def last_sent_fence(self, segment_fence: int) -> int | None:
         """Return the last fence sent for a segment, None if none was sent."""
-        sent = self._sent_fences_by_segment.get(segment_fence)
-        return None if sent is None else sent.fence
+        sent_fence = self._sent_fences_by_segment.get(segment_fence)
+        return None if sent_fence is None else sent_fence.fence
 
     @callback
     def drop_fence(self, segment_fence: int) -> None:
@@ -98,8 +98,8 @@
         A target counts the hold time from the call's arrival. If the link loses
         packets, this may be as late as the answer or the timeout of the call.
         """
-        ends_at = arrived_at + hold * CLOCK_DRIFT_FACTOR + HOLD_MARGIN
-        self.held_until = max(self.held_until, ends_at)
+        expires_at = arrived_at + hold * CLOCK_DRIFT_FACTOR + HOLD_MARGIN
+        self.held_until = max(self.held_until, expires_at)
 
     @callback
     def max_unextended_hold(self, now: float) -> float:
