--- a/swiftpin/discovery/const.py
+++ b/swiftpin/discovery/const.py
@@ -10,8 +10,8 @@
 
 GOSSIP_LAG: Final = 1.0
 """Maximum age in seconds of a neighbour's update: the delay of its watch, two
-heartbeats and a request. A target that leaves counts as leaving since that much
-earlier."""
+heartbeats and a request. A target reported as leaving counts as leaving from that
+much earlier."""
 
 DRAIN_MARGIN: Final = 0.5
 """Seconds before the end of a target's drain time from which no request is sent to it,
--- a/tests/discovery/test_older_updates.py
+++ b/tests/discovery/test_older_updates.py
@@ -97,7 +97,7 @@
     The entry is removed while this instance, after an outage, still waits for targets
     to register again. The drain time counted from the end of this wait, 2 seconds late.
     """
-    health.record_failure("away", 10.0)
+    health.record_failure("unavailable", 10.0)
     health.record_answer(15.0)
     directory.adopt_list((entry("a", 1), entry("b", 2)), 9, 15.0)
     directory.adopt_changes((removed("a", 10),), 10, 15.3)
@@ -114,7 +114,7 @@
     they know no newer revision. A missing entry was ignored until this instance's own
     connection recovered, 10 seconds later.
     """
-    health.record_failure("away", 10.0)
+    health.record_failure("unavailable", 10.0)
     directory.adopt_update([], frozenset({"b"}), 9, 12.0)
     assert directory.may_send("a", 12.0)
     directory.record_confirmation(12.0 + REREGISTRATION_TIME)
@@ -132,10 +132,10 @@
     is lost again before the targets register. The time allowed for registering again
     ran on although no source could report it.
     """
-    health.record_failure("away", 10.0)
+    health.record_failure("unavailable", 10.0)
     health.record_answer(15.0)
     directory.adopt_list((), 9, 15.0)
-    health.record_failure("away", 15.5)
+    health.record_failure("unavailable", 15.5)
     directory.expire_targets(25.0)
     assert ids(directory) == {"a", "b"}
     assert directory.may_send("a", 25.0)
--- a/tests/discovery/test_store_follower.py
+++ b/tests/discovery/test_store_follower.py
@@ -167,7 +167,7 @@
     lost.
     """
     assert await next_wait(store) == WATCH_WAIT
-    health.record_failure("away", 10.0)
+    health.record_failure("unavailable", 10.0)
     health.record_answer(12.0)
     assert await next_wait(store) < 1.0
 
@@ -206,7 +206,7 @@
     as long during an outage as at other times.
     """
     await next_wait(store)
-    health.record_failure("away", 10.0)
+    health.record_failure("unavailable", 10.0)
     assert await next_wait(store) < 1.0
     store.answers.put_nowait(StoreUnavailableError("silent"))
     assert await next_wait(store) < 1.0
--- a/tests/discovery/test_target_directory.py
+++ b/tests/discovery/test_target_directory.py
@@ -37,7 +37,7 @@
     Entries expire during the outage and are missing from the first list after it, and
     the targets register again within 2 seconds. A missing entry counted as leaving.
     """
-    health.record_failure("away", 10.0)
+    health.record_failure("unavailable", 10.0)
     health.record_answer(15.0)
     directory.adopt_list((entry("b", 9),), 9, 15.0)
     assert ids(directory) == {"a", "b"}
@@ -50,7 +50,7 @@
     directory: TargetDirectory, health: StoreHealth
 ) -> None:
     """A target that has not registered again in time is leaving."""
-    health.record_failure("away", 10.0)
+    health.record_failure("unavailable", 10.0)
     health.record_answer(15.0)
     directory.adopt_list((entry("b", 9),), 9, 15.0)
     directory.expire_targets(15.0 + REREGISTRATION_TIME + 0.1)
@@ -75,7 +75,7 @@
     directory: TargetDirectory, health: StoreHealth
 ) -> None:
     """Guards against an assigner that waits although it knows all targets."""
-    health.record_failure("away", 10.0)
+    health.record_failure("unavailable", 10.0)
     health.record_answer(15.0)
     directory.adopt_list((entry("b", 9),), 9, 15.0)
     assert directory.is_likely_complete(15.0)
--- a/tests/discovery/test_unusable_entries.py
+++ b/tests/discovery/test_unusable_entries.py
@@ -148,7 +148,7 @@
     directory: TargetDirectory, health: StoreHealth
 ) -> None:
     """A corrupt entry does not count as one that expired during an outage."""
-    health.record_failure("away", 10.0)
+    health.record_failure("unavailable", 10.0)
     health.record_answer(15.0)
     directory.adopt_list((corrupt_entry("a", 8), entry("b", 2)), 9, 15.0)
     assert ids(directory) == {"b"}
@@ -163,7 +163,9 @@
     another writer's entry for an undeclared service may name the address of a live
     target.
     """
-    directory.adopt_changes((entry("c", 3, service="nobody's", address="b:1"),), 3, 1.0)
+    directory.adopt_changes(
+        (entry("c", 3, service="undeclared", address="b:1"),), 3, 1.0
+    )
     directory.adopt_changes((entry("d", 4, address="c:1"),), 4, 1.0)
     assert directory.may_send("b", 1.0)
     assert directory.may_send("d", 1.0)
